--- a/chivescale/clock/__init__.py
+++ b/chivescale/clock/__init__.py
@@ -1,4 +1,4 @@
-"""The clock of all decisions that depend on elapsed time."""
+"""Clock for all decisions that depend on elapsed time."""
 
 from chivescale.clock._clock import now
 
--- a/chivescale/clock/_clock.py
+++ b/chivescale/clock/_clock.py
@@ -1,13 +1,13 @@
-"""Elapsed time that includes suspension of the machine."""
+"""Clock that keeps counting while the host is suspended."""
 
 import time
 
 
 def now() -> float:
-    """Return seconds since boot, counted while suspended as well.
+    """Return seconds since boot, including time spent suspended.
 
-    The monotonic clock stops while a machine is suspended, so a lease or
-    a proven age computed with it would look younger than it is after the
-    machine wakes up.
+    ``CLOCK_MONOTONIC`` does not advance while the host is suspended. After
+    a resume, a lease or a proven age computed from it would appear younger
+    than it is.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
