--- a/chivescale/errors/_failure.py
+++ b/chivescale/errors/_failure.py
@@ -1,4 +1,4 @@
-"""Sentinel value returned in place of a result."""
+"""Sentinel value returned instead of a result."""
 
 import typing
 
@@ -10,28 +10,30 @@
 class Failure(msgspec.Struct, frozen=True):
     """Outcome of an operation that did not succeed.
 
-    Functions at module borders return a ``Failure`` instead of raising, so
-    that a caller has to decide what the outcome means for its own request.
+    Functions at module boundaries return a ``Failure`` instead of raising an
+    exception, so that the calling code has to decide what the outcome means
+    for its own request.
 
     Attributes
     ----------
     kind : ErrorKind
-        Entry of the closed list of error kinds.
+        Error kind.
     reason : str
-        What went wrong, for a person; one line.
+        Human-readable description on one line.
     errno : int, optional
-        MySQL error number of the endpoint when `kind` is
+        MySQL error number reported by the endpoint if `kind` is
         ``STATEMENT_FAILED``; zero otherwise.
     sqlstate : str, optional
-        SQLSTATE of the endpoint in the same case.
+        SQLSTATE reported by the endpoint if `kind` is
+        ``STATEMENT_FAILED``; empty otherwise.
     redirect : str, optional
-        With ``NOT_LEADER``: address to ask instead; empty if unknown.
+        Address of the leader if `kind` is ``NOT_LEADER``; empty if unknown.
 
     Examples
     --------
     >>> from chivescale.errors import ErrorKind, Failure, is_failure
-    >>> answer = Failure(ErrorKind.NO_QUORUM, "1 of 3 voters reachable")
-    >>> is_failure(answer), answer.may_have_run
+    >>> failure = Failure(ErrorKind.NO_QUORUM, "1 of 3 voters reachable")
+    >>> is_failure(failure), failure.may_have_run
     (True, False)
     """
 
@@ -48,10 +50,10 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether the caller may send the request again as it is."""
+        """Whether the unchanged request may be retried."""
         return KIND_TABLE[self.kind].may_repeat
 
 
 def is_failure(value: object) -> typing.TypeGuard[Failure]:
-    """Tell whether `value` is a `Failure`."""
+    """Return whether `value` is a `Failure`."""
     return isinstance(value, Failure)
--- a/chivescale/errors/_kinds.py
+++ b/chivescale/errors/_kinds.py
@@ -1,4 +1,4 @@
-"""Error kinds and the answer that each kind gives to a caller."""
+"""Error kinds and how each kind is reported to callers."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Closed list of the reasons for which a request can fail."""
+    """Closed set of the reasons for which a request can fail."""
 
     AUTHENTICATION_FAILED = "authentication_failed"
     SERVICE_NOT_ALLOWED = "service_not_allowed"
@@ -56,21 +56,21 @@
     INTERNAL = "internal"
 
 
-class KindAnswer(msgspec.Struct, frozen=True):
-    """What a caller is told for one error kind.
+class ErrorProperties(msgspec.Struct, frozen=True):
+    """Error codes and retry semantics of one error kind.
 
     Attributes
     ----------
     errno : int
-        MySQL error number of the error packet.
+        MySQL error number sent in the error packet.
     sqlstate : str
-        Five characters of SQLSTATE.
+        Five-character SQLSTATE sent in the error packet.
     http_status : int
-        Status code between the system's own processes.
+        HTTP status code between the processes of the system.
     may_have_run : bool
-        False only when the request provably took no effect.
+        False only if the request is proven to have had no effect.
     may_repeat : bool
-        Whether sending the same request again is safe and may succeed.
+        Whether retrying the unchanged request is safe and can succeed.
     """
 
     errno: int
@@ -80,57 +80,57 @@
     may_repeat: bool
 
 
-def _answer(errno, sqlstate, status, *, ran=False, repeat=False):
-    return KindAnswer(errno, sqlstate, status, ran, repeat)
+def _row(errno, sqlstate, http_status, *, may_have_run=False, retry=False):
+    return ErrorProperties(errno, sqlstate, http_status, may_have_run, retry)
 
 
-# MySQL error numbers are those of the server error reference where one fits;
-# 1105 (unknown error) otherwise, since drivers do not retry on it.
-KIND_TABLE: dict[ErrorKind, KindAnswer] = {
-    ErrorKind.AUTHENTICATION_FAILED: _answer(1045, "28000", 401),
-    ErrorKind.SERVICE_NOT_ALLOWED: _answer(1044, "42000", 403),
-    ErrorKind.BAD_REQUEST: _answer(1231, "42000", 400),
-    ErrorKind.UNSUPPORTED: _answer(1235, "42000", 400),
-    ErrorKind.MESSAGE_TOO_LARGE: _answer(1153, "08S01", 413),
-    ErrorKind.CONNECTION_LIMIT: _answer(1203, "42000", 429, repeat=True),
-    ErrorKind.CONCURRENCY_LIMIT: _answer(1226, "42000", 429, repeat=True),
-    ErrorKind.RATE_LIMIT: _answer(1226, "42000", 429, repeat=True),
-    ErrorKind.OVERLOADED: _answer(1040, "08004", 503, repeat=True),
-    ErrorKind.DEADLINE_NOT_STARTED: _answer(1205, "HY000", 504, repeat=True),
-    ErrorKind.DEADLINE_READ: _answer(3024, "HY000", 504, repeat=True),
-    ErrorKind.SHUTTING_DOWN: _answer(1053, "08S01", 503, repeat=True),
-    ErrorKind.WORKSPACE_REMOVED: _answer(1045, "28000", 403),
-    ErrorKind.NO_PRIMARY: _answer(1290, "HY000", 503, repeat=True),
-    ErrorKind.NO_QUORUM: _answer(1290, "HY000", 503, repeat=True),
-    ErrorKind.FRESHNESS_UNPROVED: _answer(1290, "HY000", 503, repeat=True),
-    ErrorKind.DID_NOT_RUN: _answer(1213, "40001", 503, repeat=True),
-    ErrorKind.OUTCOME_UNKNOWN: _answer(1105, "08007", 504, ran=True),
-    ErrorKind.READ_INTERRUPTED: _answer(2013, "08S01", 502, repeat=True),
-    ErrorKind.TRANSACTION_ABORTED: _answer(1213, "40001", 503, repeat=True),
-    ErrorKind.KEY_REUSED: _answer(1062, "23000", 409),
-    ErrorKind.KEY_IN_PROGRESS: _answer(1205, "HY000", 409, repeat=True),
-    ErrorKind.STATEMENT_FAILED: _answer(1105, "HY000", 502),
-    ErrorKind.NOT_LEADER: _answer(1290, "HY000", 421, repeat=True),
-    ErrorKind.NOT_READY: _answer(1290, "HY000", 503, repeat=True),
-    ErrorKind.STALE_SHEET: _answer(1105, "HY000", 409),
-    ErrorKind.SHEET_CONFLICT: _answer(1105, "HY000", 409),
-    ErrorKind.SHEET_INVALID: _answer(1105, "HY000", 422),
-    ErrorKind.MESSAGE_INVALID: _answer(1047, "08S01", 400),
-    ErrorKind.SIGNATURE_INVALID: _answer(1045, "28000", 401),
-    ErrorKind.STALE_TERM: _answer(1290, "HY000", 409),
-    ErrorKind.UNKNOWN_MEMBER: _answer(1105, "HY000", 403),
-    ErrorKind.STORAGE_FAILED: _answer(1105, "HY000", 500, ran=True),
-    ErrorKind.STORAGE_CORRUPT: _answer(1105, "HY000", 500, ran=True),
-    ErrorKind.SETTINGS_INVALID: _answer(1105, "HY000", 500),
-    ErrorKind.ENDPOINT_READ_ONLY: _answer(1290, "HY000", 503, repeat=True),
-    ErrorKind.ENDPOINT_BEHIND: _answer(1290, "HY000", 503, repeat=True),
-    ErrorKind.ENDPOINT_FULL: _answer(1040, "08004", 503, repeat=True),
-    ErrorKind.WRONG_ENDPOINT: _answer(1049, "42000", 503, repeat=True),
-    ErrorKind.UNKNOWN_DATABASE: _answer(1049, "42000", 404),
-    ErrorKind.UNKNOWN_STATEMENT: _answer(1243, "HY000", 400),
-    ErrorKind.TRANSACTION_FAILED: _answer(1105, "25P02", 400),
-    ErrorKind.TIMEOUT: _answer(1105, "08S01", 504, ran=True),
-    ErrorKind.UNREACHABLE: _answer(2003, "08001", 503, repeat=True),
-    ErrorKind.CONNECTION_REFUSED: _answer(2003, "08001", 503, repeat=True),
-    ErrorKind.INTERNAL: _answer(1105, "HY000", 500, ran=True),
+# Error numbers come from the MySQL server error reference. Kinds without a
+# matching number use 1105 (ER_UNKNOWN_ERROR), which drivers do not retry.
+KIND_TABLE: dict[ErrorKind, ErrorProperties] = {
+    ErrorKind.AUTHENTICATION_FAILED: _row(1045, "28000", 401),
+    ErrorKind.SERVICE_NOT_ALLOWED: _row(1044, "42000", 403),
+    ErrorKind.BAD_REQUEST: _row(1231, "42000", 400),
+    ErrorKind.UNSUPPORTED: _row(1235, "42000", 400),
+    ErrorKind.MESSAGE_TOO_LARGE: _row(1153, "08S01", 413),
+    ErrorKind.CONNECTION_LIMIT: _row(1203, "42000", 429, retry=True),
+    ErrorKind.CONCURRENCY_LIMIT: _row(1226, "42000", 429, retry=True),
+    ErrorKind.RATE_LIMIT: _row(1226, "42000", 429, retry=True),
+    ErrorKind.OVERLOADED: _row(1040, "08004", 503, retry=True),
+    ErrorKind.DEADLINE_NOT_STARTED: _row(1205, "HY000", 504, retry=True),
+    ErrorKind.DEADLINE_READ: _row(3024, "HY000", 504, retry=True),
+    ErrorKind.SHUTTING_DOWN: _row(1053, "08S01", 503, retry=True),
+    ErrorKind.WORKSPACE_REMOVED: _row(1045, "28000", 403),
+    ErrorKind.NO_PRIMARY: _row(1290, "HY000", 503, retry=True),
+    ErrorKind.NO_QUORUM: _row(1290, "HY000", 503, retry=True),
+    ErrorKind.FRESHNESS_UNPROVED: _row(1290, "HY000", 503, retry=True),
+    ErrorKind.DID_NOT_RUN: _row(1213, "40001", 503, retry=True),
+    ErrorKind.OUTCOME_UNKNOWN: _row(1105, "08007", 504, may_have_run=True),
+    ErrorKind.READ_INTERRUPTED: _row(2013, "08S01", 502, retry=True),
+    ErrorKind.TRANSACTION_ABORTED: _row(1213, "40001", 503, retry=True),
+    ErrorKind.KEY_REUSED: _row(1062, "23000", 409),
+    ErrorKind.KEY_IN_PROGRESS: _row(1205, "HY000", 409, retry=True),
+    ErrorKind.STATEMENT_FAILED: _row(1105, "HY000", 502),
+    ErrorKind.NOT_LEADER: _row(1290, "HY000", 421, retry=True),
+    ErrorKind.NOT_READY: _row(1290, "HY000", 503, retry=True),
+    ErrorKind.STALE_SHEET: _row(1105, "HY000", 409),
+    ErrorKind.SHEET_CONFLICT: _row(1105, "HY000", 409),
+    ErrorKind.SHEET_INVALID: _row(1105, "HY000", 422),
+    ErrorKind.MESSAGE_INVALID: _row(1047, "08S01", 400),
+    ErrorKind.SIGNATURE_INVALID: _row(1045, "28000", 401),
+    ErrorKind.STALE_TERM: _row(1290, "HY000", 409),
+    ErrorKind.UNKNOWN_MEMBER: _row(1105, "HY000", 403),
+    ErrorKind.STORAGE_FAILED: _row(1105, "HY000", 500, may_have_run=True),
+    ErrorKind.STORAGE_CORRUPT: _row(1105, "HY000", 500, may_have_run=True),
+    ErrorKind.SETTINGS_INVALID: _row(1105, "HY000", 500),
+    ErrorKind.ENDPOINT_READ_ONLY: _row(1290, "HY000", 503, retry=True),
+    ErrorKind.ENDPOINT_BEHIND: _row(1290, "HY000", 503, retry=True),
+    ErrorKind.ENDPOINT_FULL: _row(1040, "08004", 503, retry=True),
+    ErrorKind.WRONG_ENDPOINT: _row(1049, "42000", 503, retry=True),
+    ErrorKind.UNKNOWN_DATABASE: _row(1049, "42000", 404),
+    ErrorKind.UNKNOWN_STATEMENT: _row(1243, "HY000", 400),
+    ErrorKind.TRANSACTION_FAILED: _row(1105, "25P02", 400),
+    ErrorKind.TIMEOUT: _row(1105, "08S01", 504, may_have_run=True),
+    ErrorKind.UNREACHABLE: _row(2003, "08001", 503, retry=True),
+    ErrorKind.CONNECTION_REFUSED: _row(2003, "08001", 503, retry=True),
+    ErrorKind.INTERNAL: _row(1105, "HY000", 500, may_have_run=True),
 }
--- a/chivescale/errors/tests/errors.feature
+++ b/chivescale/errors/tests/errors.feature
@@ -1,13 +1,13 @@
 Feature: Error kinds
-  Guards against an answer that tells a caller "did not run" although the
-  request may have taken effect.
+  Guards against reporting "did not run" to a caller although the request may
+  have taken effect.
 
-  Scenario: Every kind has an answer
+  Scenario: Every error kind has a row in the table
     Then every error kind has exactly one row in the table
 
-  Scenario Outline: What a caller is told
+  Scenario Outline: Effect and retry semantics of a failure
     When a request fails with <kind>
-    Then the caller is told may_have_run <ran> and may_repeat <repeat>
+    Then the failure reports may_have_run <ran> and may_repeat <repeat>
 
     Examples:
       | kind                 | ran | repeat |
@@ -20,5 +20,5 @@
       | key_reused           | no  | no     |
       | sheet_conflict       | no  | no     |
 
-  Scenario: No kind is both in doubt and repeatable
+  Scenario: A request that may have run is not retryable
     Then no kind that may have run may be repeated
--- a/chivescale/errors/tests/steps/error_steps.py
+++ b/chivescale/errors/tests/steps/error_steps.py
@@ -16,14 +16,14 @@
     context.failure = Failure(ErrorKind(kind), "test")
 
 
-@then("the caller is told may_have_run {ran} and may_repeat {repeat}")
-def caller_is_told(context, ran, repeat):
+@then("the failure reports may_have_run {ran} and may_repeat {repeat}")
+def check_retry_semantics(context, ran, repeat):
     assert context.failure.may_have_run == (ran == "yes")
     assert context.failure.may_repeat == (repeat == "yes")
 
 
 @then("no kind that may have run may be repeated")
-def in_doubt_is_not_repeatable(context):
+def no_retry_after_possible_effect(context):
     rows = KIND_TABLE.items()
     wrong = [kind for kind, row in rows if row.may_have_run and row.may_repeat]
     assert not wrong, wrong
