--- a/chivescale/catalog/__init__.py
+++ b/chivescale/catalog/__init__.py
@@ -1,4 +1,4 @@
-"""Routes and services that operators configure."""
+"""Configuration of routes and services."""
 
 from chivescale.catalog._model import (
     Catalog,
--- a/chivescale/catalog/_model.py
+++ b/chivescale/catalog/_model.py
@@ -1,4 +1,4 @@
-"""The desired state of routes and services."""
+"""Data model of the configuration: routes and service options."""
 
 import enum
 
@@ -6,11 +6,12 @@
 
 
 class Consistency(enum.StrEnum):
-    """What the reads of a route have to include.
+    """Consistency level of the reads of a route.
 
-    ``PRIMARY``: every acknowledged commit. ``BOUNDED``: every commit that
-    was acknowledged longer ago than the accepted staleness. ``SESSION``:
-    the same and every commit of the session.
+    ``PRIMARY`` reads observe every acknowledged commit. ``BOUNDED`` reads
+    observe every commit that was acknowledged longer ago than the accepted
+    staleness. ``SESSION`` reads additionally observe every commit of their
+    own session.
     """
 
     PRIMARY = "primary"
@@ -19,28 +20,30 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """How statements to one database are served.
+    """Mapping of a database name to a service, with its service levels.
 
     Attributes
     ----------
     name : str
         Name of the route.
     database : str
-        Database name that callers open.
+        Database name given by callers when they connect.
     prefix : str
-        Second part of the route's key; unique together with `database`.
+        Second part of the routing key; `database` and `prefix` together are
+        unique.
     service : str
         Service that runs the statements.
     consistency : Consistency
-        What reads have to include.
+        Consistency level of reads.
     statement_timeout_ms : int
-        Time limit of one statement.
+        Timeout of one statement.
     latency_goal_ms : float
-        Time within which callers want a whole operation answered.
+        Target latency of a complete operation of a caller.
     priority : int
-        0 is the most important.
+        Priority among statements that wait for a connection; 0 is the
+        highest.
     accepted_staleness_ms : float
-        Accepted age of what a read may miss.
+        Maximum staleness that reads accept.
     """
 
     name: str
@@ -55,16 +58,17 @@
 
 
 class ServiceOptions(msgspec.Struct, frozen=True):
-    """Properties of a service.
+    """Configuration of a service.
 
     Attributes
     ----------
     name : str
         Name of the service.
     max_connections : int
-        Connections that one endpoint accepts from all callers together.
+        Total number of connections that each endpoint accepts.
     sync_replicas : int
-        Replicas that have received a commit before it is acknowledged.
+        Number of replicas that must have received a commit before it is
+        acknowledged.
     """
 
     name: str
@@ -73,14 +77,18 @@
 
 
 class Catalog(msgspec.Struct, frozen=True):
-    """One complete configuration.
+    """One version of the complete configuration.
 
     Attributes
     ----------
     version : int
-        The highest one is in force.
+        Version number; the highest stored version is current.
+    routes : tuple of Route
+        All routes.
+    services : tuple of ServiceOptions
+        All services.
     idle_transaction_ms : int
-        A transaction that is idle for longer is rolled back.
+        Idle time after which a transaction is rolled back; 0 means no limit.
     """
 
     version: int
--- a/chivescale/catalog/_state.py
+++ b/chivescale/catalog/_state.py
@@ -1,4 +1,4 @@
-"""The configuration in force; the state that the log replicates."""
+"""Replicated state that holds the current configuration."""
 
 import msgspec
 
@@ -11,9 +11,9 @@
     Attributes
     ----------
     version : int
-        Version in force afterwards.
+        Current version after the operation.
     changed : bool
-        Whether the stored configuration came into force.
+        Whether the stored configuration became the current one.
     """
 
     version: int
@@ -21,12 +21,12 @@
 
 
 class CatalogState:
-    """Keeps the configuration with the highest version.
+    """Holds the configuration with the highest version.
 
     Attributes
     ----------
     catalog : Catalog or None
-        Configuration in force.
+        Current configuration.
     """
 
     __slots__ = ("catalog",)
@@ -36,14 +36,14 @@
 
     @property
     def version(self) -> int:
-        """Version in force; -1 before the first one."""
+        """Current version; -1 if no configuration is stored."""
         return self.catalog.version if self.catalog else -1
 
     def store(self, catalog: Catalog) -> StoreResult:
-        """Put a configuration into force if its version is higher.
+        """Replace the current configuration if the new version is higher.
 
-        A resent or overtaken configuration is a success without effect:
-        the operator may have missed the first answer.
+        Storing the same or an older version succeeds without effect, since
+        an operator may retry after a lost response.
         """
         changed = catalog.version > self.version
         if changed:
--- a/chivescale/catalog/_validate.py
+++ b/chivescale/catalog/_validate.py
@@ -1,11 +1,11 @@
-"""Checks of a configuration beyond the types of its fields."""
+"""Semantic validation of a configuration."""
 
 from chivescale.catalog._model import Catalog
 from chivescale.errors import ErrorKind, Failure
 
 
 def check_catalog(catalog: Catalog) -> Failure | None:
-    """Return what makes a configuration invalid.
+    """Check the constraints that field types do not express.
 
     Parameters
     ----------
@@ -15,24 +15,25 @@
     Returns
     -------
     Failure or None
-        ``BAD_REQUEST`` with the place and the reason.
+        ``BAD_REQUEST`` that describes the first violation, or None if the
+        configuration is valid.
     """
     services = {service.name for service in catalog.services}
     if len(services) != len(catalog.services):
-        return _invalid("two services share a name")
-    keys: set[tuple[str, str]] = set()
-    for number, route in enumerate(catalog.routes):
-        where = f"route {number} ({route.name})"
+        return _invalid("duplicate service name")
+    seen_keys: set[tuple[str, str]] = set()
+    for index, route in enumerate(catalog.routes):
+        where = f"route {index} ({route.name})"
         if not route.database:
-            return _invalid(f"{where} names no database")
+            return _invalid(f"{where}: database is empty")
         if route.service not in services:
             return _invalid(f"{where}: unknown service {route.service}")
         if route.statement_timeout_ms <= 0:
-            return _invalid(f"{where}: time limit of a statement is not > 0")
+            return _invalid(f"{where}: statement timeout must be positive")
         key = (route.database, route.prefix)
-        if key in keys:
-            return _invalid(f"{where}: another route has the same key")
-        keys.add(key)
+        if key in seen_keys:
+            return _invalid(f"{where}: duplicate database and prefix")
+        seen_keys.add(key)
     return None
 
 
--- a/chivescale/catalog/tests/catalog.feature
+++ b/chivescale/catalog/tests/catalog.feature
@@ -1,30 +1,30 @@
 Feature: Configuration of routes and services
-  Guards against a configuration that is accepted although it cannot be
-  served, and against one that is overtaken but comes into force.
+  Guards against accepting a configuration that cannot be served, and against
+  an older version that replaces a newer one.
 
   Scenario Outline: Validation
-    Given a configuration with <change>
+    Given a configuration with <case>
     Then it is <verdict>
 
     Examples:
-      | change                              | verdict                    |
-      | nothing unusual                     | valid                      |
-      | no routes at all                    | valid                      |
-      | two routes of one database, 2 keys  | valid                      |
-      | a route to an unknown service       | refused for unknown service|
-      | two routes with the same key        | refused for same key       |
-      | a statement limit of 0              | refused for time limit     |
-      | two services of one name            | refused for share a name   |
-      | a route without a database          | refused for no database    |
+      | case                                | verdict                                       |
+      | one valid route and service         | valid                                         |
+      | no routes and services              | valid                                         |
+      | routes of one database, 2 prefixes  | valid                                         |
+      | a route to an unknown service       | rejected: unknown service other               |
+      | two routes with the same key        | rejected: duplicate database and prefix       |
+      | a statement timeout of 0            | rejected: statement timeout must be positive  |
+      | two services with the same name     | rejected: duplicate service name              |
+      | a route without a database          | rejected: database is empty                   |
 
-  Scenario Outline: The highest version is in force
+  Scenario Outline: The highest version is current
     Given stored versions <stored>
     When version <version> is stored
-    Then it is acknowledged and <effect>, and version <held> is in force
+    Then it is acknowledged and <effect>, and version <current> is current
 
     Examples:
-      | stored  | version | effect          | held |
-      | none    | 3       | changes state   | 3    |
-      | 3       | 7       | changes state   | 7    |
-      | 3, 7    | 7       | changes nothing | 7    |
-      | 3, 7    | 5       | changes nothing | 7    |
+      | stored  | version | effect          | current |
+      | none    | 3       | changes state   | 3       |
+      | 3       | 7       | changes state   | 7       |
+      | 3, 7    | 7       | changes nothing | 7       |
+      | 3, 7    | 5       | changes nothing | 7       |
--- a/chivescale/catalog/tests/steps/catalog_steps.py
+++ b/chivescale/catalog/tests/steps/catalog_steps.py
@@ -1,4 +1,4 @@
-"""Steps for configurations."""
+"""Steps for the configuration of routes and services."""
 
 import msgspec
 from behave import given, then, when
@@ -16,28 +16,37 @@
 SERVICE = ServiceOptions("ledger", 34)
 
 
-def route(**changes) -> Route:
+def modified_route(**changes) -> Route:
     return msgspec.structs.replace(ROUTE, **changes)
 
 
-CHANGES = {
-    "nothing unusual": ([ROUTE], [SERVICE]),
-    "no routes at all": ([], []),
-    "two routes of one database, 2 keys": (
-        [ROUTE, route(prefix="/b")],
+CONFIGURATIONS = {
+    "one valid route and service": ([ROUTE], [SERVICE]),
+    "no routes and services": ([], []),
+    "routes of one database, 2 prefixes": (
+        [ROUTE, modified_route(prefix="/b")],
         [SERVICE],
     ),
-    "a route to an unknown service": ([route(service="other")], [SERVICE]),
-    "two routes with the same key": ([ROUTE, route(name="r2")], [SERVICE]),
-    "a statement limit of 0": ([route(statement_timeout_ms=0)], [SERVICE]),
-    "two services of one name": ([ROUTE], [SERVICE, SERVICE]),
-    "a route without a database": ([route(database="")], [SERVICE]),
+    "a route to an unknown service": (
+        [modified_route(service="other")],
+        [SERVICE],
+    ),
+    "two routes with the same key": (
+        [ROUTE, modified_route(name="r2")],
+        [SERVICE],
+    ),
+    "a statement timeout of 0": (
+        [modified_route(statement_timeout_ms=0)],
+        [SERVICE],
+    ),
+    "two services with the same name": ([ROUTE], [SERVICE, SERVICE]),
+    "a route without a database": ([modified_route(database="")], [SERVICE]),
 }
 
 
-@given("a configuration with {change}")
-def configuration(context, change):
-    routes, services = CHANGES[change]
+@given("a configuration with {case}")
+def configuration(context, case):
+    routes, services = CONFIGURATIONS[case]
     context.catalog = Catalog(1, tuple(routes), tuple(services))
 
 
@@ -46,8 +55,8 @@
     assert check_catalog(context.catalog) is None
 
 
-@then("it is refused for {reason}")
-def is_refused(context, reason):
+@then("it is rejected: {reason}")
+def is_rejected(context, reason):
     failure = check_catalog(context.catalog)
     assert failure is not None and reason in failure.reason, failure
 
@@ -62,15 +71,16 @@
 
 @when("version {version:d} is stored")
 def store(context, version):
-    # The content differs, so an overwrite under one number is visible.
+    # Content that differs from the given versions reveals an overwrite under
+    # the same number.
     context.result = context.state.store(
         Catalog(version, (ROUTE,), (SERVICE,))
     )
 
 
-@then("it is acknowledged and {effect}, and version {held:d} is in force")
-def outcome(context, effect, held):
+@then("it is acknowledged and {effect}, and version {current:d} is current")
+def check_outcome(context, effect, current):
     assert context.result.changed == (effect == "changes state")
-    assert context.result.version == context.state.version == held
-    own = bool(context.state.catalog.routes)
-    assert own == context.result.changed
+    assert context.result.version == context.state.version == current
+    replaced = bool(context.state.catalog.routes)
+    assert replaced == context.result.changed
