--- a/chivescale/messages/__init__.py
+++ b/chivescale/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Typed messages between the processes of the system."""
+"""Typed messages exchanged between the processes of the system."""
 
 from chivescale.messages._cluster import (
     AcceptSheet,
--- a/chivescale/messages/_cluster.py
+++ b/chivescale/messages/_cluster.py
@@ -1,4 +1,4 @@
-"""Records of the replicated state, its commands and control messages."""
+"""Records and commands of the replicated state, and control messages."""
 
 import msgspec
 
@@ -6,17 +6,17 @@
 
 
 class ServiceBinding(msgspec.Struct, frozen=True):
-    """Access of a workspace to one service.
+    """Permission of a workspace to use one service.
 
     Attributes
     ----------
     service : str
         Service name.
     staleness_ms : int
-        Accepted age of reads; 0 means always current.
+        Maximum staleness of reads; 0 requires current data.
     session_scope : str
-        ``workspace`` or ``connection``: what counts as one session when no
-        token is sent.
+        Scope of a session if the caller sends no token: ``workspace`` or
+        ``connection``.
     """
 
     service: str
@@ -25,20 +25,22 @@
 
 
 class WorkspaceRecord(msgspec.Struct, frozen=True):
-    """A workspace as the sheet defines it.
+    """Definition of a workspace in the sheet.
 
     Attributes
     ----------
     name : str
-        MySQL user name.
+        Name of the workspace, used as the MySQL user name.
     secret_hash : str
-        Hex SHA1(SHA1(secret)), as ``mysql_native_password`` needs.
+        ``SHA1(SHA1(secret))`` in hexadecimal, as required by
+        ``mysql_native_password``.
     bindings : tuple of ServiceBinding
-        Services it may reach.
+        Services that the workspace may use.
     max_connections, max_concurrent : int
-        Per entry host limits; 0 means no limit.
+        Maximum connections and concurrent statements per entry host; 0 means
+        no limit.
     max_rate : float
-        Statements a second per entry host; 0 means no limit.
+        Maximum statements per second and entry host; 0 means no limit.
     """
 
     name: str
@@ -50,14 +52,14 @@
 
 
 class SheetRecord(msgspec.Struct, frozen=True):
-    """Number and content digest of the sheet in force."""
+    """Number and content digest of the current sheet."""
 
     number: int
     digest: str
 
 
 class HostRecord(msgspec.Struct, frozen=True):
-    """An entry host known to the system."""
+    """Registration of an entry host."""
 
     host: str
     zone: str
@@ -68,7 +70,7 @@
 
 
 class EndpointRecord(msgspec.Struct, frozen=True):
-    """An endpoint known to the system."""
+    """Registration of an endpoint."""
 
     endpoint: str
     service: str
@@ -82,26 +84,27 @@
 
 
 class ServiceRecord(msgspec.Struct, frozen=True):
-    """Term of a database group.
+    """Terms of the database group of a service.
 
     Attributes
     ----------
     service : str
         Service name.
     group_size : int
-        Endpoints awaited before the first term begins.
+        Number of endpoints that must be registered before the first term
+        begins.
     begun_term : int
-        Highest term begun; at or above `term`.
+        Highest reserved term; at least `term`.
     term : int
-        Last established term; 0 before the first.
+        Latest established term; 0 if none was established.
     primary : str
         Primary of `term`.
     voters : tuple of str
         Voters of `term`.
     incarnations : tuple of str
-        Incarnation of each voter, in the same order.
+        Incarnation of each voter, in the order of `voters`.
     marker : int
-        Position of the first entry of `term`.
+        Log position of the first entry of `term`.
     """
 
     service: str
@@ -115,7 +118,7 @@
 
 
 class AcceptSheet(msgspec.Struct, frozen=True, tag=True):
-    """Command: put a sheet in force."""
+    """Command: make a sheet the current one."""
 
     number: int
     digest: str
@@ -130,7 +133,7 @@
 
 
 class RemoveHost(msgspec.Struct, frozen=True, tag=True):
-    """Command: forget an entry host, unless it has a newer incarnation."""
+    """Command: remove an entry host if its incarnation matches."""
 
     host: str
     incarnation: str
@@ -156,7 +159,7 @@
 
 
 class RemoveEndpoint(msgspec.Struct, frozen=True, tag=True):
-    """Command: forget an endpoint that is no voter."""
+    """Command: remove an endpoint that is not a voter."""
 
     endpoint: str
     incarnation: str
@@ -170,7 +173,7 @@
 
 
 class EstablishTerm(msgspec.Struct, frozen=True, tag=True):
-    """Command: publish a term whose marker a quorum holds."""
+    """Command: publish a term whose first log entry a quorum holds."""
 
     service: str
     term: int
@@ -181,10 +184,10 @@
 
 
 class Batch(msgspec.Struct, frozen=True, tag=True):
-    """Command: several changes of the membership in one log entry.
+    """Command: several membership changes in one log entry.
 
-    A failing rack or a rolling restart changes many records at once; one
-    entry for all of them keeps the log short.
+    A rack failure or a rolling restart changes many records at once; a
+    single entry for all of them keeps the log short.
     """
 
     commands: tuple[
@@ -212,19 +215,25 @@
 
 
 class WatchReply(msgspec.Struct, frozen=True):
-    """Objects changed after the index that was asked for.
+    """Records changed after the requested log index.
 
     Attributes
     ----------
     index : int
-        Log index that the reply brings the reader to.
+        Log index of the receiver's copy after merging the reply.
     authoritative : bool
-        Whether the sender was in contact with a control quorum.
+        Whether the sender was in contact with a quorum of control hosts.
     full : bool
-        Whether the reply replaces the whole copy (the asked index was
-        compacted away or is zero).
+        Whether the reply contains the full state and replaces the receiver's
+        copy, because the requested index is zero or no delta is available
+        for it.
+    sheet : SheetRecord or None
+        Current sheet, if it changed.
+    workspaces, services, hosts, endpoints : tuple
+        Records added or changed.
     removed : tuple of (str, str)
-        Table (``workspace``, ``service``, ``host``, ``endpoint``) and name.
+        Table (``workspace``, ``service``, ``host`` or ``endpoint``) and name
+        of each removed record.
     """
 
     index: int
@@ -239,21 +248,21 @@
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """Connections to one endpoint that a host may hold."""
+    """Number of connections to one endpoint, granted, held or wanted."""
 
     endpoint: str
     connections: int
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """Sign of life of an entry host.
+    """Periodic heartbeat of an entry host.
 
     Attributes
     ----------
     record : HostRecord
-        The host itself.
+        Registration of the sender.
     index : int
-        Log index in force on the host.
+        Log index of the sender's copy of the state.
     held, wanted : tuple of Lease
         Connections held and wanted per endpoint.
     """
@@ -265,17 +274,17 @@
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True):
-    """Answer of the control leader to a heartbeat.
+    """Reply of the control leader to a heartbeat.
 
     Attributes
     ----------
     leases : tuple of Lease
         Connections that the host may hold.
     lease_ms : int
-        How long the leases last.
+        Duration of the leases.
     index : int
-        Log index applied on the leader; a host far behind it renews its
-        watch on a fresh connection.
+        Log index applied on the leader. A host that is far behind it
+        reopens its watch on a new connection.
     """
 
     leases: tuple[Lease, ...] = ()
@@ -284,16 +293,24 @@
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """An endpoint's announcement of itself."""
+    """Periodic status report of an endpoint."""
 
     status: EndpointStatus
 
 
 class Suspicion(msgspec.Struct, frozen=True):
-    """Verdict of one watcher on the primary of a service.
+    """Health verdict of one watcher on the primary of a service.
 
     Attributes
     ----------
+    host : str
+        Watcher that reports the verdict.
+    service : str
+        Service name.
+    term : int
+        Term of `primary`.
+    primary : str
+        Probed endpoint.
     verdict : str
         ``refused``, ``silent``, ``detached`` or ``healthy``.
     """
@@ -306,14 +323,14 @@
 
 
 class SheetUpload(msgspec.Struct, frozen=True):
-    """A sheet as the operator sends it."""
+    """Sheet uploaded by an operator; `content` is CSV."""
 
     number: int
     content: str
 
 
 class SheetAnswer(msgspec.Struct, frozen=True):
-    """Outcome of an upload or the sheet in force."""
+    """Outcome of an upload, or the current sheet."""
 
     number: int
     digest: str
--- a/chivescale/messages/_codec.py
+++ b/chivescale/messages/_codec.py
@@ -1,4 +1,4 @@
-"""JSON encoding and validated decoding of messages."""
+"""JSON encoding and decoding of messages with validation."""
 
 import typing
 
@@ -23,14 +23,15 @@
     Parameters
     ----------
     body : bytes
-        JSON text.
+        JSON document.
     message_type : type
-        Expected type.
+        Expected message type.
 
     Returns
     -------
     message or Failure
-        ``MESSAGE_INVALID`` with the path of the offending field.
+        Decoded message, or ``MESSAGE_INVALID`` with the path of the invalid
+        field.
     """
     decoder = _decoders.get(message_type)
     if decoder is None:
--- a/chivescale/messages/_endpoint.py
+++ b/chivescale/messages/_endpoint.py
@@ -4,10 +4,11 @@
 
 
 class Position(msgspec.Struct, frozen=True, order=True):
-    """Place in the replicated log of a database group.
+    """Position in the replicated log of a database group.
 
-    Ordered by term first: a higher position of an older term may be
-    discarded, so position alone proves nothing.
+    Positions are ordered by term first: entries of an older term may be
+    discarded, so the number of entries alone does not show which log is
+    more up to date.
 
     Attributes
     ----------
@@ -29,34 +30,38 @@
 
 
 class EndpointStatus(msgspec.Struct, frozen=True):
-    """State of an endpoint as it reports it.
+    """Status reported by an endpoint.
 
     Attributes
     ----------
     endpoint, service : str
-        Identifiers.
+        Names of the endpoint and its service.
     incarnation : str
-        Changes when the endpoint lost its data.
+        Identifier of the data folder; changes if the endpoint loses its data.
     role : str
-        ``primary``, ``replica`` or ``fenced`` (promised a term, no
-        primary known yet).
+        ``primary``, ``replica`` or ``fenced`` (a term is promised, but no
+        primary is known).
     promised_term : int
-        Highest term promised; lower terms are refused.
+        Highest promised term; lower terms are refused.
     last : Position
-        Last log entry held.
+        Position of the last log entry.
+    mysql_address, admin_address : str
+        ``ip:port``.
     primary : str
-        Identifier of the followed primary; empty if none.
+        Name of the primary that the endpoint follows; empty if none.
     primary_contact_ms : int
-        Age of the last answer of the primary; 0 on the primary itself,
-        -1 if there was none yet.
+        Time since the last response of the primary; 0 on the primary itself,
+        -1 if there was no response.
     leaving : bool
-        Whether the endpoint asked for no new work.
+        Whether the endpoint asked to receive no new work.
     term_starts : tuple of TermStart
-        Which term owns which positions, ascending.
-    mysql_address, admin_address : str
-        ``ip:port``.
-    slots, connection_limit : int
-        Statements run at once; connections accepted.
+        First position of each term in the log, in ascending order.
+    zone : str
+        Availability zone.
+    slots : int
+        Maximum number of concurrent statements.
+    connection_limit : int
+        Maximum number of connections.
     """
 
     endpoint: str
@@ -77,21 +82,21 @@
 
 
 class Promise(msgspec.Struct, frozen=True):
-    """Asks a voter to refuse every term below `term`."""
+    """Request to a voter to refuse every term below `term`."""
 
     service: str
     term: int
 
 
 class PromiseReply(msgspec.Struct, frozen=True):
-    """Answer to `Promise`; `granted` only if `term` is the highest yet."""
+    """Reply to `Promise`; granted only for the highest term so far."""
 
     granted: bool
     status: EndpointStatus
 
 
 class Promote(msgspec.Struct, frozen=True):
-    """Makes the endpoint primary of `term`, which it must have promised."""
+    """Request to become primary of `term`, which must have been promised."""
 
     service: str
     term: int
@@ -99,7 +104,7 @@
 
 
 class PromoteReply(msgspec.Struct, frozen=True):
-    """Answer to `Promote`; `marker` is the first entry of the term."""
+    """Reply to `Promote`; `marker` is the first log entry of the term."""
 
     accepted: bool
     marker: Position
@@ -107,7 +112,7 @@
 
 
 class Follow(msgspec.Struct, frozen=True):
-    """Makes the endpoint a replica of `primary` in `term`."""
+    """Request to become a replica of `primary` in `term`."""
 
     service: str
     term: int
@@ -116,23 +121,23 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """Plain success."""
+    """Acknowledgement without further data."""
 
     ok: bool = True
     reason: str = ""
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Failure as it travels between processes.
+    """Encoded form of a ``Failure`` between processes.
 
     Attributes
     ----------
     kind : str
         Value of an ``ErrorKind``.
     reason : str
-        One line for a person.
+        Human-readable description on one line.
     leader_address : str
-        With ``not_leader``: where to go, empty if unknown.
+        Address of the leader if `kind` is ``not_leader``; empty if unknown.
     """
 
     kind: str
--- a/chivescale/messages/_operator.py
+++ b/chivescale/messages/_operator.py
@@ -1,21 +1,22 @@
-"""Requests of operators to control hosts, and their state."""
+"""Operator requests to control hosts, and the status of control hosts."""
 
 import msgspec
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """A member of the control log as one control host sees it.
+    """Status of a member of the agreement, as seen by one control host.
 
     Attributes
     ----------
     name, address : str
-        Member and its ``ip:port``.
+        Name and ``ip:port`` of the member.
     voter : bool
         False for a learner.
     match_index : int
-        Log index known to be stored there; -1 if this host is no leader.
+        Highest log index known to be stored on the member; -1 if the
+        reporting host is not the leader.
     contact_ms : int
-        Age of the last answer; -1 if unknown.
+        Time since the last response of the member; -1 if unknown.
     """
 
     name: str
@@ -26,26 +27,27 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """Answer of a control host to ``GET /v1/status``.
+    """Reply of a control host to ``GET /v1/status``.
 
     Attributes
     ----------
     host : str
-        Name of the answering host.
+        Name of the control host.
     role : str
         ``leader``, ``follower`` or ``candidate``.
     term : int
-        Term of the control log.
+        Term of the agreement.
     leader : str
-        Address of the leader; empty if none is known.
+        Address of the leader; empty if unknown.
     index : int
-        Log index applied.
+        Last applied log index.
     sheet : int
-        Number of the sheet in force; 0 for none.
+        Number of the current sheet; 0 if there is none.
     members : tuple of MemberStatus
-        Members of the control log.
+        Members of the agreement.
     live_hosts : tuple of str
-        Entry hosts with a recent heartbeat; known to the leader only.
+        Entry hosts with a recent heartbeat; empty unless this host is the
+        leader.
     """
 
     host: str
@@ -67,8 +69,8 @@
 class ReplaceRequest(msgspec.Struct, frozen=True):
     """Body of ``POST /v1/members/replace``.
 
-    Admits the present incarnation of a control host as a learner, after its
-    disk was lost.
+    Admits the current incarnation of a control host as a learner, after the
+    host lost its disk.
     """
 
     name: str
--- a/chivescale/messages/_watch.py
+++ b/chivescale/messages/_watch.py
@@ -6,14 +6,15 @@
 
 
 class EndpointNews(msgspec.Struct, frozen=True):
-    """What a coordinator tells of one endpoint.
+    """Latest heartbeat of an endpoint, as sent by a coordinator.
 
     Attributes
     ----------
     beat : EndpointBeat
-        Its last statement.
+        Latest heartbeat.
     primary_for_s : float
-        For how long it has called itself primary; negative if it does not.
+        Time for which the endpoint has reported itself as primary; negative
+        if it does not.
     """
 
     beat: EndpointBeat
@@ -21,14 +22,15 @@
 
 
 class EntryHostRecord(msgspec.Struct, frozen=True, array_like=True):
-    """An entry host.
+    """Identity and address of an entry host.
 
     Attributes
     ----------
     name, zone : str
-        Identity.
+        Name and availability zone.
     address : str
-        ``ip:port`` for other entry hosts; empty if it serves none.
+        ``ip:port`` for requests of other entry hosts; empty if it serves
+        none.
     """
 
     name: str
@@ -37,26 +39,26 @@
 
 
 class WatchRequest(msgspec.Struct, frozen=True):
-    """Asks for news; answered at once if there is any.
+    """Long poll of an entry host; answered as soon as there are changes.
 
     Attributes
     ----------
     host : EntryHostRecord
-        Host that asks.
+        Requesting host.
     leaving : bool
-        Whether it stops.
+        Whether the requesting host is shutting down.
     hosts_revision : int
-        Revision of the entry hosts that the host knows.
+        Known revision of the list of entry hosts.
     boot : str
-        Identifier of the coordinator process that `revision` refers to.
+        Identifier of the coordinator process to which `revision` refers.
     revision : int
-        Revision of the registry that the host knows.
+        Known revision of the endpoint registry.
     version : int
-        Configuration that the host knows.
+        Known version of the configuration.
     suspects : tuple of str
-        Suspected endpoints that the host knows.
+        Suspected endpoints already known to the requesting host.
     wait_ms : int
-        How long to wait for news.
+        Maximum time to wait for changes.
     """
 
     host: EntryHostRecord
@@ -70,29 +72,29 @@
 
 
 class WatchAnswer(msgspec.Struct, frozen=True):
-    """News for an entry host.
+    """Changes since the revisions in a `WatchRequest`.
 
     Attributes
     ----------
     boot, revision
-        What the host has to ask with next.
+        Values for the next request.
     catalog : bytes
-        Compressed `Catalog`; empty unless the host knows an older one.
+        Compressed `Catalog`; empty if the requested version is current.
     endpoints : tuple of EndpointNews
-        Endpoints that changed since the revision asked with.
+        Endpoints changed since the requested revision.
     members : dict of str to str
-        Addresses of the coordinators and their zones, as far as known.
+        Availability zone of each known coordinator, by address.
     leader : str
         Address of the leading coordinator; empty if unknown.
     age_s : float
-        How long ago this coordinator was in contact with a quorum.
+        Time since this coordinator was in contact with a quorum.
     hosts_revision : int
-        What the host has to ask with next.
+        Value for the next request.
     hosts : tuple of EntryHostRecord
-        Every entry host that watches, if they changed since the revision
-        asked with.
+        All entry hosts with an active watch, if the list changed since the
+        requested revision.
     suspects : tuple of str
-        Endpoints about which the leader wants an opinion.
+        Endpoints whose reachability entry hosts are asked to report.
     """
 
     boot: str
@@ -108,11 +110,11 @@
 
 
 class OpinionReport(msgspec.Struct, frozen=True):
-    """Whether an entry host reaches suspected endpoints."""
+    """Reachability of suspected endpoints from one entry host."""
 
     host: str
     reachable: dict[str, bool]
 
 
 class Done(msgspec.Struct, frozen=True):
-    """The request was carried out."""
+    """Empty message: a request without data or a plain acknowledgement."""
