--- a/chivescale/state/__init__.py
+++ b/chivescale/state/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated state that control hosts keep and entry hosts copy."""
+"""Replicated state of the control hosts, of which entry hosts keep copies."""
 
 from chivescale.state._results import (
     BatchApplied,
--- a/chivescale/state/_commands.py
+++ b/chivescale/state/_commands.py
@@ -1,7 +1,7 @@
-"""Effect of each command on the state.
+"""Handlers that apply commands to the replicated state.
 
-Every function must be deterministic: all control hosts apply the same
-commands and have to arrive at the same state.
+Every handler must be deterministic: all control hosts apply the same commands
+and must reach the same state.
 """
 
 import msgspec
@@ -30,14 +30,23 @@
 
 
 def accept_sheet(state, index: int, command: AcceptSheet):
-    """Put a sheet in force by its number (section 2.9 of the design)."""
+    """Make a sheet current if its number is new and the highest.
+
+    See section 2.9 of the design.
+    """
     current = state.sheet
     if current is not None and command.number < current.number:
-        reason = f"sheet {command.number}: {current.number} is in force"
+        reason = (
+            f"sheet {command.number} is older than the current sheet"
+            f" {current.number}"
+        )
         return Failure(ErrorKind.STALE_SHEET, reason)
     if current is not None and command.number == current.number:
         if command.digest != current.digest:
-            reason = f"sheet {command.number} is in force with other content"
+            reason = (
+                f"sheet {command.number} was already uploaded with different"
+                " content"
+            )
             return Failure(ErrorKind.SHEET_CONFLICT, reason)
         return SheetApplied(
             current.number, current.digest, state.sheet_index, True
@@ -50,25 +59,28 @@
 
 
 def _replace_workspaces(state, command: AcceptSheet) -> None:
-    named = {record.name for record in command.workspaces}
-    for name in sorted(set(state.workspaces) - named):
+    names = {record.name for record in command.workspaces}
+    for name in sorted(set(state.workspaces) - names):
         state.remove("workspace", name)
     for record in command.workspaces:
         state.put("workspace", record.name, record)
 
 
 def _replace_services(state, command: AcceptSheet) -> None:
-    named = {record.service for record in command.services}
-    for name in sorted(set(state.services) - named):
-        # The term stays known: a service that returns must not reuse one.
+    names = {record.service for record in command.services}
+    for name in sorted(set(state.services) - names):
+        # Keep the terms, so that a service that is added again later does
+        # not reuse one.
         state.retired[name] = state.services[name]
         state.remove("service", name)
     for record in command.services:
-        known = state.services.get(record.service)
-        known = known or state.retired.pop(record.service, None)
-        known = known or ServiceRecord(record.service)
-        kept = msgspec.structs.replace(known, group_size=record.group_size)
-        state.put("service", record.service, kept)
+        current = state.services.get(record.service)
+        current = current or state.retired.pop(record.service, None)
+        current = current or ServiceRecord(record.service)
+        updated = msgspec.structs.replace(
+            current, group_size=record.group_size
+        )
+        state.put("service", record.service, updated)
 
 
 def register_host(state, index: int, command: RegisterHost):
@@ -78,12 +90,12 @@
 
 
 def remove_host(state, index: int, command: RemoveHost):
-    """Forget an entry host unless a newer process has registered."""
+    """Remove an entry host unless a newer incarnation has registered."""
     record = state.hosts.get(command.host)
     if record is None:
         return HostChanged(command.host, None)
     if record.incarnation != command.incarnation:
-        return _replaced(command.host)
+        return _incarnation_mismatch(command.host)
     state.remove("host", command.host)
     return HostChanged(command.host, None)
 
@@ -92,7 +104,7 @@
     """Mark an entry host as draining."""
     record = state.hosts.get(command.host)
     if record is None:
-        return _unknown(command.host)
+        return _not_registered(command.host)
     record = msgspec.structs.replace(record, draining=True)
     state.put("host", command.host, record)
     return HostChanged(command.host, record)
@@ -109,21 +121,21 @@
     """Mark an endpoint as leaving."""
     record = state.endpoints.get(command.endpoint)
     if record is None:
-        return _unknown(command.endpoint)
+        return _not_registered(command.endpoint)
     if record.incarnation != command.incarnation:
-        return _replaced(command.endpoint)
+        return _incarnation_mismatch(command.endpoint)
     record = msgspec.structs.replace(record, leaving=True)
     state.put("endpoint", command.endpoint, record)
     return EndpointChanged(command.endpoint, record)
 
 
 def remove_endpoint(state, index: int, command: RemoveEndpoint):
-    """Forget an endpoint that is no voter of its service."""
+    """Remove an endpoint that is not a voter of its service."""
     record = state.endpoints.get(command.endpoint)
     if record is None:
         return EndpointChanged(command.endpoint, None)
     if record.incarnation != command.incarnation:
-        return _replaced(command.endpoint)
+        return _incarnation_mismatch(command.endpoint)
     service = state.services.get(record.service)
     if service is not None and command.endpoint in service.voters:
         reason = f"{command.endpoint} is a voter of {record.service}"
@@ -133,14 +145,14 @@
 
 
 def begin_term(state, index: int, command: BeginTerm):
-    """Reserve a term; refused unless it is above every begun term."""
+    """Reserve a term; rejected unless it is above every reserved term."""
     record = state.services.get(command.service)
     if record is None:
-        return _unknown(command.service)
+        return _not_registered(command.service)
     if command.term <= record.begun_term:
         reason = (
-            f"{command.service}: term {record.begun_term} has begun,"
-            f" {command.term} is not above it"
+            f"{command.service}: term {record.begun_term} is already"
+            f" reserved, {command.term} is not above it"
         )
         return Failure(ErrorKind.STALE_TERM, reason)
     record = msgspec.structs.replace(record, begun_term=command.term)
@@ -149,18 +161,19 @@
 
 
 def establish_term(state, index: int, command: EstablishTerm):
-    """Publish the latest begun term; refused for any other."""
+    """Publish the latest reserved term; rejected for any other term."""
     record = state.services.get(command.service)
     if record is None:
-        return _unknown(command.service)
+        return _not_registered(command.service)
     if command.term != record.begun_term or command.term <= record.term:
         reason = (
-            f"{command.service}: term {command.term} cannot be established,"
-            f" begun {record.begun_term}, established {record.term}"
+            f"{command.service}: term {command.term} cannot be established;"
+            f" reserved term {record.begun_term},"
+            f" established term {record.term}"
         )
         return Failure(ErrorKind.STALE_TERM, reason)
     if len(command.voters) != len(command.incarnations):
-        reason = f"{command.service}: one incarnation per voter required"
+        reason = f"{command.service}: requires one incarnation per voter"
         return Failure(ErrorKind.BAD_REQUEST, reason)
     record = msgspec.structs.replace(
         record,
@@ -174,10 +187,10 @@
     return TermEstablished(record)
 
 
-def _unknown(name: str) -> Failure:
+def _not_registered(name: str) -> Failure:
     return Failure(ErrorKind.UNKNOWN_MEMBER, f"{name} is not registered")
 
 
-def _replaced(name: str) -> Failure:
-    reason = f"{name} has another incarnation"
+def _incarnation_mismatch(name: str) -> Failure:
+    reason = f"{name} is registered with a different incarnation"
     return Failure(ErrorKind.UNKNOWN_MEMBER, reason)
--- a/chivescale/state/_results.py
+++ b/chivescale/state/_results.py
@@ -1,4 +1,4 @@
-"""Outcomes of commands, for the host that proposed them."""
+"""Results of applied commands, returned to the proposing host."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class SheetApplied(msgspec.Struct, frozen=True):
-    """The sheet is in force.
+    """The uploaded sheet is the current one.
 
     Attributes
     ----------
@@ -16,9 +16,9 @@
     digest : str
         Digest of its content.
     index : int
-        Log index at which the sheet came in force.
+        Log index at which the sheet became current.
     repeated : bool
-        Whether the same sheet was in force already.
+        Whether the same sheet was already current.
     """
 
     number: int
@@ -28,21 +28,21 @@
 
 
 class HostChanged(msgspec.Struct, frozen=True):
-    """An entry host was added, changed or removed (`record` is None)."""
+    """An entry host was added or changed, or removed (`record` is None)."""
 
     host: str
     record: HostRecord | None
 
 
 class EndpointChanged(msgspec.Struct, frozen=True):
-    """An endpoint was added, changed or removed (`record` is None)."""
+    """An endpoint was added or changed, or removed (`record` is None)."""
 
     endpoint: str
     record: EndpointRecord | None
 
 
 class TermBegun(msgspec.Struct, frozen=True):
-    """The term is reserved for the proposer of the command."""
+    """The term is reserved for the host that proposed the command."""
 
     record: ServiceRecord
 
@@ -54,7 +54,7 @@
 
 
 class BatchApplied(msgspec.Struct, frozen=True):
-    """Outcome of each command of a batch, in order."""
+    """Results of the commands of a batch, in order."""
 
     results: tuple[HostChanged | EndpointChanged | Failure, ...]
 
--- a/chivescale/state/_image.py
+++ b/chivescale/state/_snapshot.py
@@ -1,4 +1,4 @@
-"""Encoded form of the whole state."""
+"""Snapshot encoding of the replicated state."""
 
 import msgspec
 
@@ -11,8 +11,26 @@
 )
 
 
-class Image(msgspec.Struct):
-    """Content of a `ClusterState`; each record with its change index."""
+class StateSnapshot(msgspec.Struct):
+    """Snapshot of a `ClusterState`.
+
+    Attributes
+    ----------
+    index : int
+        Log index of the last applied command.
+    sheet : SheetRecord or None
+        Current sheet.
+    sheet_index : int
+        Log index at which the sheet became current.
+    oldest_index : int
+        Highest log index of the discarded removals.
+    retired : tuple of ServiceRecord
+        Records of services that the sheet no longer contains.
+    removals : tuple of (str, str, int)
+        Table, name and log index of each removal.
+    workspaces, services, hosts, endpoints : tuple
+        Records, each with the log index of its last change.
+    """
 
     index: int
     sheet: SheetRecord | None
@@ -26,14 +44,14 @@
     endpoints: tuple[tuple[int, EndpointRecord], ...]
 
     @classmethod
-    def of(cls, state) -> "Image":
-        """Return the image of a state."""
+    def from_state(cls, state) -> "StateSnapshot":
+        """Create a snapshot of a state."""
         rows = {kind: _rows(table) for kind, table in state.tables.items()}
         return cls(
             index=state.index,
             sheet=state.sheet,
             sheet_index=state.sheet_index,
-            oldest_index=state.oldest_index,
+            oldest_index=state.compacted_index,
             retired=tuple(
                 state.retired[name] for name in sorted(state.retired)
             ),
@@ -47,12 +65,12 @@
             endpoints=rows["endpoint"],
         )
 
-    def fill(self, state) -> None:
-        """Fill an empty state."""
+    def restore(self, state) -> None:
+        """Copy the snapshot into an empty state."""
         state.index = self.index
         state.sheet = self.sheet
         state.sheet_index = self.sheet_index
-        state.oldest_index = self.oldest_index
+        state.compacted_index = self.oldest_index
         state.retired = {record.service: record for record in self.retired}
         for kind, name, index in self.removals:
             state.removals[kind, name] = index
@@ -62,14 +80,15 @@
             ("host", self.hosts, "host"),
             ("endpoint", self.endpoints, "endpoint"),
         ):
-            # A table keeps the order of the changes.
+            # A table orders its records by the index of their last change.
             for index, record in sorted(rows, key=lambda row: row[0]):
                 name = getattr(record, field)
                 state.tables[kind].put(name, record, index)
 
 
 def _rows(table) -> tuple:
-    """Return (index of the last change, record), ascending by index."""
+    """Return (index of the last change, record), in ascending index order."""
     return tuple(
-        (index, table.records[name]) for name, index in table.changed.items()
+        (index, table.records[name])
+        for name, index in table.changed_at.items()
     )
--- a/chivescale/state/_state.py
+++ b/chivescale/state/_state.py
@@ -1,4 +1,4 @@
-"""Replicated state and the commands that change it."""
+"""Replicated state machine of the control hosts."""
 
 import msgspec
 
@@ -23,12 +23,12 @@
     WorkspaceRecord,
 )
 from chivescale.state import _commands
-from chivescale.state._image import Image
 from chivescale.state._results import BatchApplied, Result
+from chivescale.state._snapshot import StateSnapshot
 from chivescale.state._table import Table
 
-# Entry hosts that are further behind receive the full state instead; an
-# entry takes about 100 bytes.
+# Number of removals kept for deltas, about 100 bytes each. A copy that is
+# further behind receives the full state.
 MAX_REMOVALS = 4096
 
 _HANDLERS = {
@@ -47,19 +47,30 @@
 class ClusterState:
     """Sheet, workspaces, services with their terms, hosts and endpoints.
 
+    Control hosts change it with `apply`; entry hosts keep a copy that they
+    update with `merge`.
+
     Attributes
     ----------
     index : int
         Log index of the last applied command.
     sheet : SheetRecord or None
-        Sheet in force.
+        Current sheet.
     sheet_index : int
-        Log index at which it came in force.
+        Log index at which the sheet became current.
     workspaces, services, hosts, endpoints : dict
         Records by name.
     retired : dict of str to ServiceRecord
-        Terms of services that the sheet no longer names. A service that
-        returns continues above them.
+        Records of services that the sheet no longer contains. Their terms
+        continue if the service is added again.
+    removals : dict of (str, str) to int
+        Log index at which each removed record, given by table and name, was
+        removed, in ascending order.
+    compacted_index : int
+        Highest log index of the discarded removals; no delta is available
+        for an older copy.
+    tables : dict of str to Table
+        Tables by the kind of their records.
     """
 
     def __init__(self):
@@ -68,7 +79,7 @@
         self.sheet_index = 0
         self.retired: dict[str, ServiceRecord] = {}
         self.removals: dict[tuple[str, str], int] = {}
-        self.oldest_index = 0
+        self.compacted_index = 0
         self.tables: dict[str, Table] = {
             kind: Table(kind)
             for kind in ("workspace", "service", "host", "endpoint")
@@ -95,7 +106,7 @@
         return self.tables["endpoint"].records
 
     def endpoints_by_service(self) -> dict[str, list[EndpointRecord]]:
-        """Return the endpoints of each service that has any."""
+        """Return the endpoints grouped by service."""
         grouped: dict[str, list[EndpointRecord]] = {}
         for record in self.endpoints.values():
             grouped.setdefault(record.service, []).append(record)
@@ -107,18 +118,20 @@
         Parameters
         ----------
         index : int
-            Its log index, above that of any command applied before.
+            Log index of the command; must be above `self.index`.
         command : Command
-            The command.
+            Command to apply.
 
         Returns
         -------
         result or Failure
-            What the command did, or why it had no effect. Both are the
-            same on every host.
+            Result of the command, or the reason why it had no effect;
+            identical on every host.
         """
         if index <= self.index:
-            raise AssertionError(f"index {index} applied after {self.index}")
+            raise AssertionError(
+                f"log index {index} applied after {self.index}"
+            )
         self.index = index
         if isinstance(command, Batch):
             return BatchApplied(
@@ -130,40 +143,40 @@
         return _HANDLERS[type(command)](self, index, command)
 
     def put(self, kind: str, name: str, record: msgspec.Struct) -> None:
-        """Store a record changed by the command being applied."""
+        """Store a record at the index of the command being applied."""
         if self.tables[kind].put(name, record, self.index):
             self.removals.pop((kind, name), None)
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove a record and remember the removal for watchers."""
+        """Remove a record and keep the removal for deltas."""
         if not self.tables[kind].remove(name):
             return
-        # Insertion order is the order of the indexes.
+        # Reinsertion keeps the dictionary in ascending order of the index.
         self.removals.pop((kind, name), None)
         self.removals[kind, name] = self.index
         while len(self.removals) > MAX_REMOVALS:
             oldest = next(iter(self.removals))
-            self.oldest_index = self.removals.pop(oldest)
+            self.compacted_index = self.removals.pop(oldest)
 
     def changes_since(
         self, index: int, authoritative: bool = False
     ) -> WatchReply:
-        """Return what changed after `index`.
+        """Return the records changed after `index`.
 
         Parameters
         ----------
         index : int
-            Index of the asking copy.
+            Log index of the copy to update.
         authoritative : bool
-            Whether the sender is in contact with a control quorum.
+            Whether this host is in contact with a quorum of control hosts.
 
         Returns
         -------
         WatchReply
-            The full state if `index` is zero, above the own index, or
-            older than the removals kept.
+            A delta, or the full state if `index` is zero, above
+            `self.index`, or below `compacted_index`.
         """
-        full = index < max(self.oldest_index, 1) or index > self.index
+        full = index < max(self.compacted_index, 1) or index > self.index
         after = 0 if full else index
         tables = self.tables
         return WatchReply(
@@ -171,27 +184,31 @@
             authoritative=authoritative,
             full=full,
             sheet=self.sheet if self.sheet_index > after else None,
-            workspaces=tables["workspace"].since(after),
-            services=tables["service"].since(after),
-            hosts=tables["host"].since(after),
-            endpoints=tables["endpoint"].since(after),
+            workspaces=tables["workspace"].changed_since(after),
+            services=tables["service"].changed_since(after),
+            hosts=tables["host"].changed_since(after),
+            endpoints=tables["endpoint"].changed_since(after),
             removed=() if full else self._removed_after(after),
         )
 
     def _removed_after(self, index: int) -> tuple[tuple[str, str], ...]:
-        return tuple(key for key, at in self.removals.items() if at > index)
+        return tuple(
+            key
+            for key, removed_at in self.removals.items()
+            if removed_at > index
+        )
 
     def merge(self, reply: WatchReply) -> bool:
-        """Bring a copy up to a reply of a control host or a peer.
+        """Update a copy with the reply of a control host or a peer.
 
-        A reply that is not above the own index changes nothing, so a
-        copy never goes back. The reply must have been asked for with the
-        own index or an older one.
+        A reply whose index is not above the index of the copy is ignored, so
+        the copy never reverts to an older state. The reply must have been
+        requested with the current index of the copy or a lower one.
 
         Returns
         -------
         bool
-            Whether the copy changed.
+            Whether the copy was updated.
         """
         if reply.index <= self.index:
             return False
@@ -209,30 +226,34 @@
 
     def _replace_tables(self, reply: WatchReply) -> None:
         self.removals.clear()
-        self.oldest_index = reply.index
+        self.compacted_index = reply.index
         if reply.sheet is None:
             self.sheet, self.sheet_index = None, 0
         for kind, table in self.tables.items():
             records = {n: r for k, n, r in _records(reply) if k == kind}
-            table.load(records, reply.index)
+            table.replace_all(records, reply.index)
 
     def to_bytes(self) -> bytes:
-        """Encode the whole state for a snapshot."""
-        return msgspec.msgpack.encode(Image.of(self))
+        """Encode a snapshot of the state."""
+        return msgspec.msgpack.encode(StateSnapshot.from_state(self))
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "ClusterState | Failure":
-        """Decode a snapshot; ``STORAGE_CORRUPT`` if it is not one."""
+        """Decode a snapshot; ``STORAGE_CORRUPT`` if decoding fails."""
         try:
-            image = msgspec.msgpack.decode(data, type=Image)
+            snapshot = msgspec.msgpack.decode(data, type=StateSnapshot)
         except msgspec.MsgspecError as err:
-            return Failure(ErrorKind.STORAGE_CORRUPT, f"cluster state: {err}")
+            return Failure(
+                ErrorKind.STORAGE_CORRUPT,
+                f"cannot decode the cluster state: {err}",
+            )
         state = cls()
-        image.fill(state)
+        snapshot.restore(state)
         return state
 
 
 def _records(reply: WatchReply):
+    """Yield table, name and record of each record in a reply."""
     for record in reply.workspaces:
         yield "workspace", record.name, record
     for record in reply.services:
--- a/chivescale/state/_table.py
+++ b/chivescale/state/_table.py
@@ -1,4 +1,4 @@
-"""Records of one kind with the log index of their last change."""
+"""Table of records with the log index of their last change."""
 
 import typing
 
@@ -8,45 +8,52 @@
 
 
 class Table(typing.Generic[Record]):
-    """Maps names to records and remembers when each changed.
+    """Records by name, with the log index at which each last changed.
 
     Parameters
     ----------
     kind : str
         Name of the table in `WatchReply.removed`.
+
+    Attributes
+    ----------
+    records : dict
+        Records by name.
+    changed_at : dict of str to int
+        Log index of the last change of each record, in ascending order.
     """
 
     def __init__(self, kind: str):
         self.kind = kind
         self.records: dict[str, Record] = {}
-        self.changed: dict[str, int] = {}
+        self.changed_at: dict[str, int] = {}
 
     def put(self, name: str, record: Record, index: int) -> bool:
-        """Store a record; tell whether it differs from the one before."""
+        """Store a record; return whether it differs from the current one."""
         if self.records.get(name) == record:
             return False
         self.records[name] = record
-        # Reinserted, so that the order is that of the indexes.
-        self.changed.pop(name, None)
-        self.changed[name] = index
+        # Reinsertion keeps the dictionary in ascending order of the index.
+        self.changed_at.pop(name, None)
+        self.changed_at[name] = index
         return True
 
     def remove(self, name: str) -> bool:
-        """Remove a record; tell whether there was one."""
-        self.changed.pop(name, None)
+        """Remove a record; return whether it existed."""
+        self.changed_at.pop(name, None)
         return self.records.pop(name, None) is not None
 
-    def since(self, index: int) -> tuple[Record, ...]:
+    def changed_since(self, index: int) -> tuple[Record, ...]:
         """Return the records changed after `index`, sorted by name."""
         names = []
-        for name, at in reversed(self.changed.items()):
-            if at <= index:
+        for name, last_index in reversed(self.changed_at.items()):
+            if last_index <= index:
                 break
             names.append(name)
         return tuple(self.records[name] for name in sorted(names))
 
-    def load(self, records: dict[str, Record], index: int) -> None:
-        """Replace all records."""
+    def replace_all(self, records: dict[str, Record], index: int) -> None:
+        """Replace the whole content of the table."""
         for name in set(self.records) - set(records):
             self.remove(name)
         for name, record in records.items():
