--- a/chivescale/control/__init__.py
+++ b/chivescale/control/__init__.py
@@ -1,4 +1,4 @@
-"""The control role."""
+"""Control hosts: replicated state, leader duties and their HTTP interface."""
 
 from chivescale.control._host import ControlHost
 from chivescale.control._leadership import Leadership
--- a/chivescale/control/_host.py
+++ b/chivescale/control/_host.py
@@ -1,4 +1,4 @@
-"""Shell of the control role."""
+"""Control host process."""
 
 import asyncio
 import pathlib
@@ -29,21 +29,21 @@
 
 
 class ControlHost:
-    """One control host: its member of the log and what it serves.
+    """Control host: a member of the agreement with an HTTP interface.
 
     Parameters
     ----------
     settings : Settings
         Settings of the process.
     secret : bytes
-        Shared secret.
+        Shared secret that signs requests between processes.
     metrics : Metrics, optional
         Metrics of the process.
 
     Attributes
     ----------
     leadership : Leadership or None
-        Present while this host leads.
+        Leader duties; None while this host is not the leader.
     """
 
     def __init__(
@@ -56,7 +56,8 @@
         self.metrics = metrics
         self.state = ClusterState()
         self.leadership: Leadership | None = None
-        # In order of arrival, so that runs from one seed repeat.
+        # A dictionary keeps the order of arrival, unlike a set, which makes
+        # simulated runs reproducible from their seed.
         self.waiters: dict[asyncio.Future, None] = {}
         self.stopping = False
         tls = settings.tls
@@ -79,7 +80,13 @@
         self.server = Server(secret, routes, server_tls(tls), count)
 
     async def start(self) -> Failure | None:
-        """Open the data folder and serve; a failure names what is wrong."""
+        """Open the data folder and start to serve requests.
+
+        Returns
+        -------
+        Failure or None
+            The reason why the data folder cannot be used.
+        """
         failure = await self.agreement.start()
         if failure is not None:
             return failure
@@ -88,65 +95,66 @@
         return None
 
     async def stop(self) -> None:
-        """Stop serving and close the data folder."""
+        """Stop serving requests and close the data folder."""
         self.stopping = True
-        self._notify()
+        self._wake_watches()
         await self.agreement.close()
         if self.leadership is not None:
             self._end_leadership()
         await self.server.close()
         await self.client.close()
 
-    # callbacks of the log
+    # Callbacks of the agreement.
 
     def _apply(self, index: int, data: bytes):
         command = decode(data, Command)
         if is_failure(command):
-            # All hosts read the same bytes; a host that cannot must not
-            # go on with another state than the others.
-            reason = f"log entry {index}: {command.reason}"
+            # Every host applies the same bytes. A host that cannot decode
+            # them must not continue with a state that differs from the
+            # others.
+            reason = f"cannot decode log entry {index}: {command.reason}"
             raise AssertionError(reason)
         result = self.state.apply(index, command)
-        self._notify()
+        self._wake_watches()
         if self.leadership is not None:
-            self._tell_leadership(command)
+            self._notify_leadership(command)
         return result
 
-    def _tell_leadership(self, command: Command) -> None:
-        parts = command.commands if isinstance(command, Batch) else [command]
+    def _notify_leadership(self, command: Command) -> None:
+        changes = command.commands if isinstance(command, Batch) else [command]
         services: set[str] = set()
         hosts = endpoints = False
-        for part in parts:
-            if isinstance(part, RegisterHost | RemoveHost | DrainHost):
+        for change in changes:
+            if isinstance(change, RegisterHost | RemoveHost | DrainHost):
                 hosts = True
-            elif isinstance(part, AcceptSheet):
+            elif isinstance(change, AcceptSheet):
                 endpoints = True
                 services.update(self.leadership.failovers)
                 services.update(self.state.services)
-            elif isinstance(part, BeginTerm | EstablishTerm):
-                endpoints |= isinstance(part, EstablishTerm)
-                services.add(part.service)
+            elif isinstance(change, BeginTerm | EstablishTerm):
+                endpoints |= isinstance(change, EstablishTerm)
+                services.add(change.service)
             else:
                 endpoints = True
-                services.update(self._services_of(part))
+                services.update(self._affected_services(change))
         self.leadership.state_changed(services, hosts, endpoints)
 
-    def _services_of(self, command) -> set[str]:
-        """Return the services that a change of an endpoint concerns."""
+    def _affected_services(self, command) -> set[str]:
+        """Return the services affected by a change of an endpoint."""
         record = getattr(command, "record", None)
         if isinstance(record, EndpointRecord):
             return {record.service}
-        known = self.state.endpoints.get(command.endpoint)
-        if known is not None:
-            return {known.service}
+        registered = self.state.endpoints.get(command.endpoint)
+        if registered is not None:
+            return {registered.service}
         return {
             service
-            for service, failover in self.leadership.failovers.items()
-            if command.endpoint in failover.group.endpoints
+            for service, machine in self.leadership.failovers.items()
+            if command.endpoint in machine.group.endpoints
         }
 
     def _snapshot(self) -> bytes:
-        # The state object changes with a restore.
+        # Looked up on each call, since a restore replaces the state object.
         return self.state.to_bytes()
 
     def _restore(self, data: bytes) -> None:
@@ -154,7 +162,7 @@
         if is_failure(state):
             raise AssertionError(state.reason)
         self.state = state
-        self._notify()
+        self._wake_watches()
 
     def _leadership_changed(self, leading: bool, term: int) -> None:
         if self.leadership is not None:
@@ -173,10 +181,10 @@
         self.leadership.close()
         self.leadership = None
 
-    # reading the state
+    # Access to the state.
 
     def not_leader(self) -> Failure:
-        """Return the answer to a request that only the leader serves."""
+        """Return the failure for a request that requires the leader."""
         if self.agreement.failure is not None:
             return self.agreement.failure
         address = self.agreement.leader_address
@@ -184,7 +192,7 @@
         return Failure(ErrorKind.NOT_LEADER, reason, redirect=address)
 
     def authoritative(self) -> bool:
-        """Tell whether this host is in contact with a quorum."""
+        """Return whether this host is in contact with a quorum."""
         machine = self.agreement.machine
         if machine is None or self.agreement.failure is not None:
             return False
@@ -194,17 +202,20 @@
         return age_s < machine.timing.election_timeout_s
 
     async def watch(self, after: int, deadline: float) -> WatchReply:
-        """Wait for a state above `after` and return the changes."""
+        """Return the changes after index `after`, waiting for the first one.
+
+        The changes are empty if there are none by `deadline`.
+        """
         while self.state.index <= after and not self.stopping:
             left_s = deadline - clock.now()
-            if left_s <= 0 or not await self._wait(left_s):
+            if left_s <= 0 or not await self._wait_for_change(left_s):
                 break
         if after > self.state.index:
-            # The reader knows more; nothing here is news to it.
+            # The caller's copy is newer than the state of this host.
             return WatchReply(self.state.index, self.authoritative())
         return self.state.changes_since(after, self.authoritative())
 
-    async def _wait(self, timeout_s: float) -> bool:
+    async def _wait_for_change(self, timeout_s: float) -> bool:
         waiter = asyncio.get_running_loop().create_future()
         self.waiters[waiter] = None
         try:
@@ -216,16 +227,16 @@
         finally:
             self.waiters.pop(waiter, None)
 
-    def _notify(self) -> None:
+    def _wake_watches(self) -> None:
         waiters, self.waiters = self.waiters, {}
         for waiter in waiters:
             if not waiter.done():
                 waiter.set_result(None)
 
-    def log_refused(self, what: str, failure: Failure) -> None:
-        """Log an operator's request that was refused."""
+    def log_refused(self, operation: str, failure: Failure) -> None:
+        """Log an operator request that was refused."""
         log_event(
-            f"{what}_refused",
+            f"{operation}_refused",
             "warning",
             kind=failure.kind,
             reason=failure.reason,
--- a/chivescale/control/_leadership.py
+++ b/chivescale/control/_leadership.py
@@ -1,13 +1,12 @@
-"""Soft state and duties of the control leader."""
+"""Duties of the control leader and the soft state that they need."""
 
 import asyncio
 import collections
 import random
 import typing
 
-from chivescale import clock, membership
-from chivescale import failover as fo
-from chivescale.control._requests import execute
+from chivescale import clock, failover, membership
+from chivescale.control._requests import send_request
 from chivescale.errors import is_failure
 from chivescale.limits import LeaseBook
 from chivescale.messages import (
@@ -27,24 +26,25 @@
 from chivescale.telemetry import log_event
 from chivescale.transport import Client
 
-LEASE_S = 3.0
+LEASE_DURATION_S = 3.0
 
-# Running attempts and suspected services are served at this interval. It
-# adds at most its length to a failover and costs little, since there are
-# few of them at a time.
-BUSY_TICK_S = 0.01
+# Tick interval of services that are suspected or have a failover attempt in
+# progress. It delays a failover by at most one interval and costs little,
+# since few services are in this state at a time.
+ACTIVE_TICK_INTERVAL_S = 0.01
 
-# Every other service gets a tick once in this time, spread evenly.
-IDLE_ROUND_S = 1.0
+# Period in which every other service receives one tick; the ticks are spread
+# evenly over it.
+IDLE_TICK_INTERVAL_S = 1.0
 
-# Membership changes may wait; they are sent again when they fail.
-PROPOSE_TIMEOUT_S = 1.0
+# Membership changes are not urgent; a failed proposal is repeated.
+MEMBERSHIP_TIMEOUT_S = 1.0
 
 
 class Leadership:
-    """Everything that lives as long as this host leads.
+    """Duties and soft state of the control leader during one leadership.
 
-    Nothing of it is durable: a new leader rebuilds it from heartbeats,
+    The state is not durable: a new leader rebuilds it from heartbeats,
     announcements and suspicions.
 
     Parameters
@@ -52,13 +52,16 @@
     settings : Settings
         Settings of the process.
     state : ClusterState
-        Applied state, changed by the owner only.
+        Applied state; changed only by the control host.
     client : Client
-        Transport to endpoints.
+        HTTP client for requests to endpoints.
     submit : callable
-        ``async (bytes, deadline) -> Outcome or Failure`` of the log.
+        ``async (bytes, deadline) -> Outcome or Failure``; replicates an
+        encoded command and applies it.
     metrics : Metrics, optional
-        Receives the duration of failovers.
+        Receives the duration of failover phases.
+    rng : random.Random, optional
+        Source of jitter.
     """
 
     def __init__(
@@ -77,37 +80,39 @@
         self.submit = submit
         self.metrics = metrics
         self.rng = rng or random.Random()
-        self.since = now
+        self.leader_since = now
         self.hosts = membership.HostTable(now)
         self.endpoints = membership.EndpointTable(now)
-        self.verdicts = fo.Verdicts()
-        self.leases = LeaseBook(LEASE_S, started_at=now)
-        self.failovers: dict[str, fo.Failover] = {}
-        self.budgets: dict[str, int] = {}
+        self.verdicts = failover.Verdicts()
+        self.leases = LeaseBook(LEASE_DURATION_S, started_at=now)
+        self.failovers: dict[str, failover.Failover] = {}
+        self.connection_limits: dict[str, int] = {}
         self.watchers: dict[str, tuple[str, ...]] = {}
-        self.idle: collections.deque[str] = collections.deque()
-        self.idle_credit = 0.0
+        # Services in the order of their next tick, and the number of ticks
+        # that are due.
+        self.tick_queue: collections.deque[str] = collections.deque()
+        self.due_ticks = 0.0
         self.tasks: set[asyncio.Task] = set()
         self.closed = False
         self.counts: collections.Counter[str] = collections.Counter()
-        failover = settings.failover
-        self.timing = fo.Timing(
-            failover.promise_timeout_ms / 1000,
-            failover.attempt_timeout_ms / 1000,
-            failover.silence_floor_ms / 1000,
+        timeouts = settings.failover
+        self.timing = failover.Timing(
+            timeouts.promise_timeout_ms / 1000,
+            timeouts.attempt_timeout_ms / 1000,
+            timeouts.silence_floor_ms / 1000,
         )
 
     def start(self) -> None:
-        """Take over the applied state and begin to work."""
+        """Process the applied state and start the periodic ticks."""
         self.state_changed(set(self.state.services), True, True)
         self._spawn(self._run())
 
     def close(self) -> None:
-        """Stop at once; answers that still arrive have no effect."""
+        """Stop immediately; replies that arrive later have no effect."""
         self.closed = True
         now = clock.now()
-        for failover in self.failovers.values():
-            failover.step(fo.LeadershipLost(), now)
+        for machine in self.failovers.values():
+            machine.step(failover.LeadershipLost(), now)
         for task in list(self.tasks):
             task.cancel()
 
@@ -117,55 +122,61 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _run(self) -> None:
-        last = clock.now()
+        previous = clock.now()
         while not self.closed:
-            await asyncio.sleep(BUSY_TICK_S)
+            await asyncio.sleep(ACTIVE_TICK_INTERVAL_S)
             now = clock.now()
             try:
-                self._tick(now, now - last)
-            except Exception as err:  # without ticks nothing would fail over
+                self._tick(now, now - previous)
+            except Exception as err:  # failover depends on further ticks
                 log_event("leader_error", "error", error=repr(err))
-            last = now
+            previous = now
 
     def _tick(self, now: float, elapsed_s: float) -> None:
-        self._execute_batches(self.hosts.step(membership.Tick(), now))
-        self._execute_batches(self.endpoints.step(membership.Tick(), now))
+        self._propose_batches(self.hosts.step(membership.Tick(), now))
+        self._propose_batches(self.endpoints.step(membership.Tick(), now))
         self.verdicts.forget(now)
-        busy = {name for name, f in self.failovers.items() if f.attempt}
-        busy.update(self.verdicts.services())
-        for service in busy:
-            self._judge(service, now)
-            self._drive(service, fo.Tick(), now)
-        self.idle_credit += elapsed_s / IDLE_ROUND_S * len(self.failovers)
-        while self.idle_credit >= 1 and self.idle:
-            self.idle_credit -= 1
-            service = self.idle.popleft()
+        active = {
+            name for name, machine in self.failovers.items() if machine.attempt
+        }
+        active.update(self.verdicts.services())
+        for service in active:
+            self._evaluate_verdicts(service, now)
+            self._step_failover(service, failover.Tick(), now)
+        self.due_ticks += (
+            elapsed_s / IDLE_TICK_INTERVAL_S * len(self.failovers)
+        )
+        while self.due_ticks >= 1 and self.tick_queue:
+            self.due_ticks -= 1
+            service = self.tick_queue.popleft()
             if service in self.failovers:
-                self.idle.append(service)
-                self._drive(service, fo.Tick(), now)
+                self.tick_queue.append(service)
+                self._step_failover(service, failover.Tick(), now)
 
-    # applied state
+    # Applied state.
 
     def state_changed(
         self, services: set[str], hosts: bool, endpoints: bool
     ) -> None:
-        """Pass on a change of the applied state.
+        """Process a change of the applied state.
 
         Parameters
         ----------
         services : set of str
             Services whose record or endpoints changed.
-        hosts, endpoints : bool
-            Whether any host, or any endpoint or voter, changed.
+        hosts : bool
+            Whether an entry host changed.
+        endpoints : bool
+            Whether an endpoint or a voter changed.
         """
         now = clock.now()
         state = self.state
         if hosts:
             self.watchers.clear()
             event = membership.HostsApplied(tuple(state.hosts.values()))
-            self._execute_batches(self.hosts.step(event, now))
+            self._propose_batches(self.hosts.step(event, now))
         if endpoints:
-            self.budgets = {
+            self.connection_limits = {
                 record.endpoint: record.connection_limit
                 for record in state.endpoints.values()
             }
@@ -173,62 +184,64 @@
                 tuple(state.endpoints.values()),
                 tuple(state.services.values()),
             )
-            self._execute_batches(self.endpoints.step(event, now))
+            self._propose_batches(self.endpoints.step(event, now))
         zones = collections.Counter(r.zone for r in state.hosts.values())
         by_service = collections.defaultdict(list)
         for record in state.endpoints.values():
             if record.service in services:
                 by_service[record.service].append(record)
         for service in services:
-            self._show(service, tuple(by_service[service]), zones, now)
+            self._update_failover(
+                service, tuple(by_service[service]), zones, now
+            )
 
-    def _show(self, service, endpoints, zones, now: float) -> None:
+    def _update_failover(self, service, endpoints, zones, now: float) -> None:
         record = self.state.services.get(service)
         if record is None:
-            gone = self.failovers.pop(service, None)
-            if gone is not None:
-                gone.step(fo.LeadershipLost(), now)
+            removed = self.failovers.pop(service, None)
+            if removed is not None:
+                removed.step(failover.LeadershipLost(), now)
             return
         if service not in self.failovers:
-            self.failovers[service] = fo.Failover(
+            self.failovers[service] = failover.Failover(
                 service, self.timing, self.rng, now
             )
-            if service not in self.idle:
-                self.idle.append(service)
-        event = fo.StateApplied(record, endpoints, dict(zones))
-        self._drive(service, event, now)
+            if service not in self.tick_queue:
+                self.tick_queue.append(service)
+        event = failover.StateApplied(record, endpoints, dict(zones))
+        self._step_failover(service, event, now)
 
-    # messages
+    # Messages.
 
     def heartbeat(self, heartbeat: Heartbeat) -> tuple[Lease, ...]:
-        """Take in a heartbeat and return the leases of the host."""
+        """Process a heartbeat and return the leases of the entry host."""
         now = clock.now()
         event = membership.HostHeartbeat(heartbeat)
-        self._execute_batches(self.hosts.step(event, now))
+        self._propose_batches(self.hosts.step(event, now))
         return self.leases.heartbeat(
             heartbeat.record.host,
             heartbeat.held,
             heartbeat.wanted,
-            self.budgets,
+            self.connection_limits,
             now,
         )
 
     def announce(self, status: EndpointStatus) -> None:
-        """Take in an announcement."""
+        """Process the announcement of an endpoint."""
         now = clock.now()
         if self.endpoints.is_stale(status, now):
             self.counts["stale_announcements"] += 1
             return
         event = membership.EndpointAnnounced(status)
-        self._execute_batches(self.endpoints.step(event, now))
-        self._drive(status.service, fo.Announced(status), now)
+        self._propose_batches(self.endpoints.step(event, now))
+        self._step_failover(status.service, failover.Announced(status), now)
 
     def suspect(self, suspicion: Suspicion) -> None:
-        """Take in the verdict of a watcher."""
+        """Process the verdict of a watcher."""
         now = clock.now()
         self.counts["suspicions"] += 1
         self.verdicts.record(suspicion, now)
-        self._judge(suspicion.service, now)
+        self._evaluate_verdicts(suspicion.service, now)
 
     def live_hosts(self) -> tuple[str, ...]:
         """Return the entry hosts with a recent heartbeat."""
@@ -241,8 +254,8 @@
             )
         )
 
-    def _judge(self, service: str, now: float) -> None:
-        """Tell the failover when a majority of the watchers agrees."""
+    def _evaluate_verdicts(self, service: str, now: float) -> None:
+        """Notify the failover if the watchers agree that the primary fails."""
         record = self.state.services.get(service)
         if record is None or record.term == 0:
             return
@@ -259,51 +272,54 @@
         )
         if agreed is None:
             return
-        event = fo.VerdictReached(
+        event = failover.VerdictReached(
             record.term,
             record.primary,
             agreed.verdict,
             agreed.since,
             agreed.needs_probe,
         )
-        self._drive(service, event, now)
+        self._step_failover(service, event, now)
 
-    # effects
+    # Effects.
 
-    def _drive(self, service: str, event: object, now: float) -> None:
-        failover = self.failovers.get(service)
-        if failover is None or self.closed:
+    def _step_failover(self, service: str, event: object, now: float) -> None:
+        machine = self.failovers.get(service)
+        if machine is None or self.closed:
             return
         try:
-            effects = failover.step(event, now)
+            effects = machine.step(event, now)
         except Exception as err:  # one service must not stop the others
-            self._restart(service, repr(err), now)
+            self._reset_failover(service, repr(err), now)
             return
         for effect in effects:
             self._execute(service, effect)
 
-    def _restart(self, service: str, reason: str, now: float) -> None:
-        """Begin anew after a fault, as a new leader would.
+    def _reset_failover(self, service: str, reason: str, now: float) -> None:
+        """Replace a state machine that raised an exception.
 
-        Nothing of the earlier attempt is resumed, so whatever was wrong in
-        it cannot establish its term.
+        Like a new leader, the replacement does not resume an earlier
+        attempt, so an attempt with an inconsistent state cannot establish its
+        term.
         """
         self.counts["failover_errors"] += 1
         log_event("failover_error", "error", service=service, reason=reason)
-        old = self.failovers[service]
-        new = fo.Failover(service, self.timing, self.rng, now, old.group)
-        new.not_before = now + self.timing.attempt_timeout_s
-        self.failovers[service] = new
+        failed = self.failovers[service]
+        machine = failover.Failover(
+            service, self.timing, self.rng, now, failed.group
+        )
+        machine.not_before = now + self.timing.attempt_timeout_s
+        self.failovers[service] = machine
 
     def _execute(self, service: str, effect: object) -> None:
-        if isinstance(effect, fo.LogPhase):
+        if isinstance(effect, failover.LogPhase):
             self._log_phase(effect)
-        elif isinstance(effect, fo.Propose):
-            self._spawn(self._propose(service, effect.command))
+        elif isinstance(effect, failover.Propose):
+            self._spawn(self._propose_term(service, effect.command))
         else:
-            self._spawn(self._request(service, effect))
+            self._spawn(self._send_request(service, effect))
 
-    def _log_phase(self, effect: fo.LogPhase) -> None:
+    def _log_phase(self, effect: failover.LogPhase) -> None:
         self.counts[f"failover_{effect.phase}"] += 1
         level = "warning" if effect.phase == "failed" else "info"
         log_event(
@@ -319,17 +335,18 @@
                 phase = name.removesuffix("_ms").replace("total", "gap")
                 self.metrics.observe_gap(phase, value / 1000)
 
-    async def _request(self, service: str, effect) -> None:
-        event = await execute(self.client, service, effect)
-        if isinstance(event, fo.PositionAnswered) and not self.closed:
-            # As good as an announcement, and those can get lost.
-            heard = membership.EndpointAnnounced(event.status)
+    async def _send_request(self, service: str, effect) -> None:
+        event = await send_request(self.client, service, effect)
+        if isinstance(event, failover.PositionAnswered) and not self.closed:
+            # The reply carries the same status as an announcement, which can
+            # get lost.
+            announcement = membership.EndpointAnnounced(event.status)
             now = clock.now()
-            self._execute_batches(self.endpoints.step(heard, now))
+            self._propose_batches(self.endpoints.step(announcement, now))
         if event is not None:
-            self._drive(service, event, clock.now())
+            self._step_failover(service, event, clock.now())
 
-    async def _propose(
+    async def _propose_term(
         self, service: str, command: BeginTerm | EstablishTerm
     ) -> None:
         deadline = clock.now() + self.timing.attempt_timeout_s
@@ -342,18 +359,20 @@
                 term=command.term,
                 reason=outcome.reason,
             )
-            event = fo.ProposalFailed(command)
+            event = failover.ProposalFailed(command)
         else:
-            event = self._committed(service, command, outcome.result)
-        self._drive(service, event, clock.now())
+            event = self._committed_event(service, command, outcome.result)
+        self._step_failover(service, event, clock.now())
 
-    def _committed(self, service: str, command, result) -> fo.Committed:
+    def _committed_event(
+        self, service: str, command, result
+    ) -> failover.Committed:
         if isinstance(result, TermBegun | TermEstablished):
-            return fo.Committed(command, True, result.record)
+            return failover.Committed(command, True, result.record)
         record = self.state.services.get(service, ServiceRecord(service))
-        return fo.Committed(command, False, record)
+        return failover.Committed(command, False, record)
 
-    def _execute_batches(self, effects) -> None:
+    def _propose_batches(self, effects) -> None:
         for effect in effects:
             commands = effect.commands
             command = commands[0] if len(commands) == 1 else Batch(commands)
@@ -361,9 +380,9 @@
             self._spawn(self._propose_membership(command))
 
     async def _propose_membership(self, command: Command) -> None:
-        deadline = clock.now() + PROPOSE_TIMEOUT_S
+        deadline = clock.now() + MEMBERSHIP_TIMEOUT_S
         outcome = await self.submit(encode(command), deadline)
         if is_failure(outcome):
-            # The tables propose it again while it is needed.
+            # The membership tables repeat the proposal while it is needed.
             reason = outcome.reason
             log_event("membership_not_committed", "warning", reason=reason)
--- a/chivescale/control/_requests.py
+++ b/chivescale/control/_requests.py
@@ -1,7 +1,6 @@
-"""Requests of the control leader to endpoints."""
+"""Requests from the control leader to endpoints."""
 
-from chivescale import clock
-from chivescale import failover as fo
+from chivescale import clock, failover
 from chivescale.errors import ErrorKind, is_failure
 from chivescale.messages import (
     Accepted,
@@ -14,20 +13,25 @@
 )
 from chivescale.transport import Client
 
-Request = fo.SendPromise | fo.SendPromote | fo.SendFollow | fo.AskPosition
+Request = (
+    failover.SendPromise
+    | failover.SendPromote
+    | failover.SendFollow
+    | failover.AskPosition
+)
 
 
-async def execute(client: Client, service: str, effect: Request):
-    """Send the request of an effect.
+async def send_request(client: Client, service: str, effect: Request):
+    """Send the request that an effect of the failover state machine describes.
 
     Returns
     -------
     event or None
-        Answer or failure for the state machine; None for a plain success
-        that it does not wait for.
+        Event with the reply or the failure; None for a reply that the state
+        machine does not wait for.
     """
-    asked_at = clock.now()
-    method, path, reply_type, body = _describe(service, effect)
+    sent_at = clock.now()
+    method, path, reply_type, body = _build_request(service, effect)
     reply = await client.call(
         effect.address,
         method,
@@ -37,29 +41,31 @@
         timeout_s=effect.timeout_s,
         fresh=getattr(effect, "fresh", False),
     )
-    name = effect.endpoint
+    endpoint_name = effect.endpoint
     if is_failure(reply):
         refused = reply.kind is ErrorKind.UNREACHABLE
-        request = path.removeprefix("/v1/").partition("?")[0]
-        return fo.RequestFailed(name, request, effect.term, asked_at, refused)
-    if isinstance(effect, fo.SendPromise):
-        return fo.PromiseAnswered(name, effect.term, reply)
-    if isinstance(effect, fo.SendPromote):
-        return fo.PromoteAnswered(name, effect.term, reply)
-    if isinstance(effect, fo.AskPosition):
-        return fo.PositionAnswered(name, asked_at, reply)
+        operation = path.removeprefix("/v1/").partition("?")[0]
+        return failover.RequestFailed(
+            endpoint_name, operation, effect.term, sent_at, refused
+        )
+    if isinstance(effect, failover.SendPromise):
+        return failover.PromiseAnswered(endpoint_name, effect.term, reply)
+    if isinstance(effect, failover.SendPromote):
+        return failover.PromoteAnswered(endpoint_name, effect.term, reply)
+    if isinstance(effect, failover.AskPosition):
+        return failover.PositionAnswered(endpoint_name, sent_at, reply)
     return None
 
 
-def _describe(service: str, effect: Request):
-    """Return method, path, reply type and body of an effect."""
-    if isinstance(effect, fo.SendPromise):
+def _build_request(service: str, effect: Request):
+    """Return method, path, reply type and body of the request."""
+    if isinstance(effect, failover.SendPromise):
         body = Promise(service, effect.term)
         return "POST", "/v1/promise", PromiseReply, body
-    if isinstance(effect, fo.SendPromote):
+    if isinstance(effect, failover.SendPromote):
         body = Promote(service, effect.term, effect.voters)
         return "POST", "/v1/promote", PromoteReply, body
-    if isinstance(effect, fo.SendFollow):
+    if isinstance(effect, failover.SendFollow):
         body = Follow(
             service, effect.term, effect.primary, effect.primary_address
         )
--- a/chivescale/control/_routes.py
+++ b/chivescale/control/_routes.py
@@ -1,4 +1,4 @@
-"""Requests that a control host serves."""
+"""HTTP routes of a control host."""
 
 import asyncio
 import typing
@@ -30,19 +30,19 @@
 if typing.TYPE_CHECKING:
     from chivescale.control._host import ControlHost
 
-# A sheet of 4 MiB as a JSON string.
-SHEET_LIMIT_BYTES = 8 << 20
+# Fits a sheet of 4 MiB that is encoded as a JSON string.
+SHEET_BODY_LIMIT_BYTES = 8 << 20
 
-# The answer leaves this long before the reader's deadline.
-WATCH_MARGIN_S = 0.1
-MAX_WATCH_S = 30.0
+# A watch is answered this long before the deadline of its request.
+WATCH_REPLY_MARGIN_S = 0.1
+MAX_WATCH_WAIT_S = 30.0
 
 
 def make_routes(host: "ControlHost") -> list[Route]:
-    """Return the routes of section 3.1 for control hosts."""
+    """Return the routes of a control host (section 3.1 of the design)."""
 
-    def leading(handler):
-        """Answer elsewhere what only the leader may answer."""
+    def leader_only(handler):
+        """Reject requests with the leader's address unless this host leads."""
 
         async def handle(request: Request):
             if host.leadership is None or not host.agreement.is_leader:
@@ -51,31 +51,39 @@
 
         return handle
 
-    def local(handler):
+    def any_host(handler):
         async def handle(request: Request):
             return await handler(host, request)
 
         return handle
 
     return [
-        Route("GET", "/v1/watch", local(_watch)),
-        Route("GET", "/v1/status", local(_status)),
-        Route("GET", "/v1/sheet", leading(_show_sheet)),
+        Route("GET", "/v1/watch", any_host(_watch)),
+        Route("GET", "/v1/status", any_host(_status)),
+        Route("GET", "/v1/sheet", leader_only(_show_sheet)),
         Route(
             "POST",
             "/v1/sheet",
-            leading(_upload_sheet),
+            leader_only(_upload_sheet),
             SheetUpload,
-            body_limit=SHEET_LIMIT_BYTES,
+            body_limit=SHEET_BODY_LIMIT_BYTES,
         ),
-        Route("POST", "/v1/hosts/heartbeat", leading(_heartbeat), Heartbeat),
         Route(
-            "POST", "/v1/endpoints/announce", leading(_announce), Announcement
+            "POST", "/v1/hosts/heartbeat", leader_only(_heartbeat), Heartbeat
         ),
-        Route("POST", "/v1/suspicions", leading(_suspect), Suspicion),
-        Route("POST", "/v1/hosts/drain", leading(_drain), DrainRequest),
         Route(
-            "POST", "/v1/members/replace", leading(_replace), ReplaceRequest
+            "POST",
+            "/v1/endpoints/announce",
+            leader_only(_announce),
+            Announcement,
+        ),
+        Route("POST", "/v1/suspicions", leader_only(_suspect), Suspicion),
+        Route("POST", "/v1/hosts/drain", leader_only(_drain), DrainRequest),
+        Route(
+            "POST",
+            "/v1/members/replace",
+            leader_only(_replace),
+            ReplaceRequest,
         ),
     ]
 
@@ -87,14 +95,18 @@
         after = int(request.query.get("after", 0))
         wait_s = int(request.query.get("wait_ms", 0)) / 1000
     except ValueError as err:
-        return Failure(ErrorKind.BAD_REQUEST, f"query: {err}")
+        return Failure(
+            ErrorKind.BAD_REQUEST, f"query parameters of the watch: {err}"
+        )
     if host.agreement.failure is not None:
         return host.agreement.failure
     if after < 0 or wait_s < 0:
-        return Failure(ErrorKind.BAD_REQUEST, "query: negative number")
+        return Failure(
+            ErrorKind.BAD_REQUEST, "query parameters must not be negative"
+        )
     now = clock.now()
-    latest = request.deadline - WATCH_MARGIN_S
-    deadline = min(now + min(wait_s, MAX_WATCH_S), latest)
+    latest = request.deadline - WATCH_REPLY_MARGIN_S
+    deadline = min(now + min(wait_s, MAX_WATCH_WAIT_S), latest)
     return await host.watch(after, deadline)
 
 
@@ -118,7 +130,7 @@
 
 
 def _members(host: "ControlHost") -> tuple[MemberStatus, ...]:
-    """Return the members; only a leader knows how far they are."""
+    """Return the members; replication progress is known to the leader only."""
     agreement, machine = host.agreement, host.agreement.machine
     progress = {}
     if machine is not None and machine.role is Role.LEADER:
@@ -126,15 +138,19 @@
     now = clock.now()
     members = []
     for member in agreement.configuration.members:
-        match, contact_ms = -1, -1
+        match_index, contact_ms = -1, -1
         if member.name == agreement.name and progress:
-            match, contact_ms = machine.log.last_index, 0
-        elif known := progress.get((member.name, member.incarnation)):
-            match = known.match
-            contact_ms = max(0, int((now - known.contact) * 1000))
+            match_index, contact_ms = machine.log.last_index, 0
+        elif peer := progress.get((member.name, member.incarnation)):
+            match_index = peer.match
+            contact_ms = max(0, int((now - peer.contact) * 1000))
         members.append(
             MemberStatus(
-                member.name, member.address, member.voter, match, contact_ms
+                member.name,
+                member.address,
+                member.voter,
+                match_index,
+                contact_ms,
             )
         )
     return tuple(members)
@@ -158,8 +174,8 @@
     )
 
 
-def _read_sheet(upload: SheetUpload) -> bytes | Failure:
-    """Turn an upload into an encoded command; runs in a thread."""
+def _encode_command(upload: SheetUpload) -> bytes | Failure:
+    """Parse an uploaded sheet and encode its command; runs in a thread."""
     sheet = parse_sheet(upload.content)
     if is_failure(sheet):
         return sheet
@@ -174,9 +190,12 @@
 ) -> SheetAnswer | Failure:
     upload = request.body
     if upload.number < 1:
-        return Failure(ErrorKind.SHEET_INVALID, "number must be at least 1")
-    # A large sheet takes longer to parse than a heartbeat may be late.
-    command = await asyncio.to_thread(_read_sheet, upload)
+        return Failure(
+            ErrorKind.SHEET_INVALID, "sheet number must be at least 1"
+        )
+    # Parsed in a thread: a large sheet would block the event loop for longer
+    # than a heartbeat may be delayed.
+    command = await asyncio.to_thread(_encode_command, upload)
     if is_failure(command):
         host.log_refused("sheet", command)
         return command
--- a/chivescale/control/tests/steps/control_steps.py
+++ b/chivescale/control/tests/steps/control_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run control hosts, entry hosts and endpoints in one loop."""
+"""Steps for control hosts, entry hosts and endpoints in one event loop."""
 
 import asyncio
 import shutil
@@ -8,7 +8,7 @@
 from absl import logging
 from behave import given, then, when
 
-from chivescale.control.tests.control_system import System, sheet
+from chivescale.control.tests.control_system import InProcessSystem, sheet_csv
 from chivescale.errors import ErrorKind, is_failure
 from chivescale.messages import (
     Accepted,
@@ -21,9 +21,9 @@
 )
 
 SHEETS = {
-    "with the same": sheet("ledger"),
-    "with two services": sheet("ledger", "atelier"),
-    "with a bad row": sheet("ledger")
+    "with unchanged content": sheet_csv("ledger"),
+    "with two services": sheet_csv("ledger", "atelier"),
+    "with an invalid row": sheet_csv("ledger")
     .replace(",3\n", ",three\n")
     .replace(",3\r\n", ",three\r\n"),
 }
@@ -33,9 +33,9 @@
     return context.loop.run_until_complete(awaitable)
 
 
-async def stop_all(system: System) -> None:
+async def stop_all(system: InProcessSystem) -> None:
     await system.stop()
-    # Requests to frozen endpoints are still open.
+    # Requests to frozen endpoints are still pending.
     tasks = asyncio.all_tasks() - {asyncio.current_task()}
     for task in tasks:
         task.cancel()
@@ -46,41 +46,41 @@
     folder = tempfile.mkdtemp()
     logging.set_verbosity(logging.ERROR)
     context.loop = asyncio.new_event_loop()
-    context.system = System(folder, entries=entries)
+    context.system = InProcessSystem(folder, entries=entries)
 
-    def clean():
+    def clean_up():
         run(context, stop_all(context.system))
         context.loop.close()
         shutil.rmtree(folder)
 
-    context.add_cleanup(clean)
+    context.add_cleanup(clean_up)
     run(context, context.system.start(endpoints))
-    answer = upload(context, 5, "with the same")
+    answer = upload(context, 5, "with unchanged content")
     assert not is_failure(answer), answer
 
 
 def upload(context, number: int, content: str):
     body = SheetUpload(number, SHEETS[content])
-    call = context.system.call("POST", "/v1/sheet", SheetAnswer, body)
+    call = context.system.call_leader("POST", "/v1/sheet", SheetAnswer, body)
     return run(context, call)
 
 
-def ask(context, address: str, path: str, reply_type, method="GET"):
-    client = context.system.entries[0].client
+def request(context, address: str, path: str, reply_type, method="GET"):
+    client = context.system.entry_hosts[0].client
     return run(
         context, client.call(address, method, path, reply_type, timeout_s=2)
     )
 
 
-@given("3 control hosts with sheet 5 of one service in force")
-def control_hosts(context):
+@given("3 control hosts whose current sheet 5 has one service")
+def three_control_hosts(context):
     start_system(context, 1, 0)
 
 
 @given("a system of 3 control hosts, 3 entry hosts and {n:d} endpoints")
 def whole_system(context, n):
     start_system(context, 3, n)
-    context.before = run(context, context.system.established())
+    context.before = run(context, context.system.wait_for_term())
 
 
 @when("an operator uploads sheet {number:d} {content}")
@@ -90,40 +90,40 @@
 
 @then("the upload answers {answer}")
 def upload_answers(context, answer):
-    found = context.answer
-    if is_failure(found):
-        text = str(found.kind)
-        text += " naming row 2" * ("row 2" in found.reason)
+    actual = context.answer
+    if is_failure(actual):
+        text = str(actual.kind)
+        text += " naming row 2" * ("row 2" in actual.reason)
     else:
-        text = "success" + ", repeated" * found.repeated
-    assert text == answer, found
+        text = "success" + ", repeated" * actual.repeated
+    assert text == answer, actual
 
 
-@then("every other control host names the leader")
-def names_leader(context):
+@then("every other control host replies with the leader's address")
+def check_redirects(context):
     system = context.system
-    leader = run(context, system.until(lambda: system.leader))
+    leader = run(context, system.wait_for(lambda: system.leader))
     address = system.addresses[int(leader.settings.host.name[1:]) - 1]
     for other in system.addresses:
         if other != address:
-            answer = ask(context, other, "/v1/sheet", SheetAnswer)
+            answer = request(context, other, "/v1/sheet", SheetAnswer)
             assert answer.kind is ErrorKind.NOT_LEADER, answer
             assert answer.redirect == address, answer
-            status = ask(context, other, "/v1/status", Status)
+            status = request(context, other, "/v1/status", Status)
             assert (status.role, status.leader) == ("follower", address)
-    status = ask(context, address, "/v1/status", Status)
+    status = request(context, address, "/v1/status", Status)
     assert status.role == "leader"
     assert all(m.match_index >= 0 for m in status.members), status
 
 
 @then("every control host serves the watch with index and sheet 5")
-def serves_watch(context):
+def check_watch(context):
     for address in context.system.addresses:
         path = "/v1/watch?after=0&wait_ms=1500"
-        reply = ask(context, address, path, WatchReply)
+        reply = request(context, address, path, WatchReply)
         assert reply.authoritative and reply.sheet.number == 5, reply
         path = f"/v1/watch?after={reply.index + 1}&wait_ms=10"
-        reply = ask(context, address, path, WatchReply)
+        reply = request(context, address, path, WatchReply)
         assert not reply.services and not reply.full, reply
 
 
@@ -146,7 +146,7 @@
 @when("the primary and the control leader stop")
 def primary_and_leader_stop(context):
     system = context.system
-    leader = run(context, system.until(lambda: system.leader))
+    leader = run(context, system.wait_for(lambda: system.leader))
     run(context, system.stop_endpoint(context.before.primary))
     run(context, system.stop_control(leader.settings.host.name))
 
@@ -156,47 +156,47 @@
     system = context.system
     first = context.before
     run(context, system.stop_endpoint(first.primary))
-    context.before = run(context, system.established(first.term))
+    context.before = run(context, system.wait_for_term(first.term))
     run(context, system.start_endpoint(first.primary))
     run(context, system.stop_endpoint(context.before.primary))
 
 
-@when("the failover fails and the primary stops")
-def failover_fails(context):
+@when("the failover raises an exception and the primary stops")
+def failover_raises(context):
     system = context.system
-    leader = run(context, system.until(lambda: system.leader)).leadership
+    leader = run(context, system.wait_for(lambda: system.leader)).leadership
 
     def step(event, now):
         raise AssertionError("injected")
 
     leader.failovers["ledger"].step = step
     run(context, system.stop_endpoint(context.before.primary))
-    run(context, system.until(lambda: leader.counts["failover_errors"]))
+    run(context, system.wait_for(lambda: leader.counts["failover_errors"]))
 
 
 @then("every entry host learns a new primary")
-def learns_new_primary(context):
+def check_new_primary(context):
     before = context.before
-    record = run(context, context.system.established(before.term))
+    record = run(context, context.system.wait_for_term(before.term))
     assert record.primary != before.primary, record
 
 
 @when("all control hosts restart")
 def all_restart(context):
     async def restart():
-        for name in list(context.system.control):
+        for name in list(context.system.control_hosts):
             await context.system.stop_control(name)
         for number in range(1, len(context.system.addresses) + 1):
             await context.system.start_control(f"c{number}")
-        await context.system.until(lambda: context.system.leader)
+        await context.system.wait_for(lambda: context.system.leader)
         await asyncio.sleep(1.5)
 
     run(context, restart())
 
 
-@then("the term and the sheet are as before")
-def as_before(context):
-    for host in context.system.control.values():
+@then("the term and the sheet are unchanged")
+def check_unchanged(context):
+    for host in context.system.control_hosts.values():
         record = host.state.services["ledger"]
         assert record == context.before, (record, context.before)
         assert host.state.sheet.number == 5
@@ -208,25 +208,25 @@
         run(context, context.system.stop_control(name))
 
 
-@then("the last one serves the state without authority")
-def without_authority(context):
-    host = context.system.control["c3"]
-    run(context, context.system.until(lambda: not host.authoritative()))
+@then("the remaining one serves the state as not authoritative")
+def check_not_authoritative(context):
+    host = context.system.control_hosts["c3"]
+    run(context, context.system.wait_for(lambda: not host.authoritative()))
     address = context.system.addresses[2]
-    reply = ask(context, address, "/v1/watch?after=0", WatchReply)
+    reply = request(context, address, "/v1/watch?after=0", WatchReply)
     assert not reply.authoritative and reply.services, reply
 
 
 @then("it accepts no sheet")
-def accepts_no_sheet(context):
-    entry = context.system.entries[0]
+def check_sheet_refused(context):
+    entry = context.system.entry_hosts[0]
     body = SheetUpload(6, SHEETS["with two services"])
     address = context.system.addresses[2]
     call = entry.client.call(
         address, "POST", "/v1/sheet", SheetAnswer, body, timeout_s=2
     )
     assert is_failure(run(context, call))
-    assert context.system.control["c3"].state.sheet.number == 5
+    assert context.system.control_hosts["c3"].state.sheet.number == 5
 
 
 @when("c3 loses its disk and an operator replaces it")
@@ -235,37 +235,37 @@
     run(context, system.stop_control("c3"))
     shutil.rmtree(system.folder / "c3")
     run(context, system.start_control("c3"))
-    call = system.call(
+    call = system.call_leader(
         "POST", "/v1/members/replace", Accepted, ReplaceRequest("c3")
     )
     answer = run(context, call)
     assert not is_failure(answer), answer
 
 
-@then("c3 is a voter with the state in force")
-def c3_is_voter(context):
+@then("c3 is a voter with the current state")
+def check_c3_is_voter(context):
     system = context.system
-    host = system.control["c3"]
+    host = system.control_hosts["c3"]
 
     def ready():
-        own = host.agreement.machine.own_member
-        sheet_known = host.state.sheet and host.state.sheet.number == 5
-        return own is not None and own.voter and sheet_known
+        member = host.agreement.machine.own_member
+        has_sheet = host.state.sheet and host.state.sheet.number == 5
+        return member is not None and member.voter and has_sheet
 
-    run(context, system.until(ready))
+    run(context, system.wait_for(ready))
 
 
 @then("the leases of all entry hosts together respect the limits")
-def leases_respect_limits(context):
+def check_leases(context):
     system = context.system
-    leader = run(context, system.until(lambda: system.leader))
+    leader = run(context, system.wait_for(lambda: system.leader))
 
     def granted():
         book, now = leader.leadership.leases, time.monotonic()
         return [book.granted(name, now) for name in system.endpoints]
 
-    # Every host has at least the floor of one connection.
-    run(context, system.until(lambda: min(granted()) >= 3))
+    # Each of the 3 entry hosts is granted at least one connection.
+    run(context, system.wait_for(lambda: min(granted()) >= 3))
     limits = leader.state.endpoints
     for name, count in zip(system.endpoints, granted(), strict=True):
         assert count <= limits[name].connection_limit, (name, count)
@@ -273,7 +273,7 @@
 
 @when("an operator drains h2")
 def drains_h2(context):
-    call = context.system.call(
+    call = context.system.call_leader(
         "POST", "/v1/hosts/drain", Accepted, DrainRequest("h2")
     )
     answer = run(context, call)
@@ -281,22 +281,22 @@
 
 
 @then("h2 stays draining while it sends heartbeats")
-def h2_draining(context):
+def check_h2_draining(context):
     run(context, asyncio.sleep(1.5))
-    for host in context.system.control.values():
+    for host in context.system.control_hosts.values():
         assert host.state.hosts["h2"].draining
 
 
 @when("h3 stops")
 def h3_stops(context):
-    run(context, context.system.entries[2].stop())
+    run(context, context.system.entry_hosts[2].stop())
 
 
 @then("h3 is removed from the state")
-def h3_removed(context):
+def check_h3_removed(context):
     system = context.system
-    hosts = list(system.control.values())
+    hosts = list(system.control_hosts.values())
     run(
         context,
-        system.until(lambda: all("h3" not in h.state.hosts for h in hosts)),
+        system.wait_for(lambda: all("h3" not in h.state.hosts for h in hosts)),
     )
