--- a/chivescale/retry/__init__.py
+++ b/chivescale/retry/__init__.py
@@ -1,4 +1,4 @@
-"""Retry budget, backoff and the rule on resending."""
+"""Retry budget, backoff and the rules for retrying requests."""
 
 from chivescale.retry._budget import RetryBudget, backoff_s
 from chivescale.retry._resend import Attempt, Request, may_resend
--- a/chivescale/retry/_budget.py
+++ b/chivescale/retry/_budget.py
@@ -1,4 +1,4 @@
-"""Bounds on the number and pace of retries."""
+"""Retry budget and exponential backoff."""
 
 import random
 
@@ -7,17 +7,17 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of requests.
+    """Token bucket that limits retries to a fraction of all requests.
 
-    Unlimited retries multiply the load on endpoints that are already
+    Without it, retries would multiply the load on endpoints that are already
     overloaded.
 
     Parameters
     ----------
     ratio : float
-        Retries earned by one request.
+        Tokens added per request; one retry consumes one token.
     burst : float
-        Most retries that can be saved up.
+        Maximum number of tokens.
 
     Examples
     --------
@@ -38,11 +38,11 @@
         self.tokens = burst
 
     def record_request(self) -> None:
-        """Earn the share of one first attempt."""
+        """Add the tokens of one request; retries do not count."""
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def try_retry(self) -> bool:
-        """Take one retry if there is one."""
+        """Consume a token; return False if none is available."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -50,18 +50,18 @@
 
 
 def backoff_s(attempt: int, rng: random.Random) -> float:
-    """Return the pause before retry number `attempt`, counted from 0.
+    """Return the delay before retry number `attempt`, counted from 0.
 
-    Uniform over the whole interval (full jitter), so that callers that
-    failed together do not return together.
+    Drawn uniformly from the whole interval (full jitter), so that callers
+    that failed at the same time do not retry at the same time.
 
     Parameters
     ----------
     attempt : int
-        Retries made so far.
+        Number of retries made so far.
     rng : random.Random
-        Source of randomness.
+        Random number generator.
     """
-    # The exponent is bounded so that large counts cannot overflow.
-    bound = min(BACKOFF_MAX_S, BACKOFF_BASE_S * 2 ** min(attempt, 16))
-    return rng.random() * bound
+    # The exponent is capped to avoid overflow for large retry counts.
+    max_delay_s = min(BACKOFF_MAX_S, BACKOFF_BASE_S * 2 ** min(attempt, 16))
+    return rng.random() * max_delay_s
--- a/chivescale/retry/_resend.py
+++ b/chivescale/retry/_resend.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt may be sent again (design section 2.6)."""
+"""Rules for retrying a failed attempt (section 2.6 of docs/design.md)."""
 
 import enum
 
@@ -6,11 +6,11 @@
 
 from chivescale.errors import ErrorKind
 
-# Outcomes in which the endpoint refused the request before running it.
-REFUSED = frozenset({ErrorKind.OVERLOADED})
-# Outcomes of a connection or endpoint, not of the statement itself: another
-# endpoint may succeed.
-ENDPOINT_FAULTS = frozenset(
+# Failures where the endpoint rejected the request before executing it.
+REJECTED_KINDS = frozenset({ErrorKind.OVERLOADED})
+# Failures of a connection or an endpoint rather than of the statement, so the
+# statement may succeed on another endpoint.
+ENDPOINT_FAULT_KINDS = frozenset(
     {
         ErrorKind.OVERLOADED,
         ErrorKind.READ_INTERRUPTED,
@@ -20,13 +20,13 @@
         ErrorKind.UNREACHABLE,
     }
 )
-# MySQL errors that precede execution: too many connections, and a write
-# refused because the server is read-only (a fenced or replaced primary).
-REFUSED_ERRNOS = frozenset({1040, 1290, 1836})
+# MySQL errors raised before execution: too many connections, and a write
+# rejected because the server is read-only (a fenced or replaced primary).
+REJECTED_ERRNOS = frozenset({1040, 1290, 1836})
 
 
 class Request(enum.Enum):
-    """Class of a request, as far as resending is concerned."""
+    """Class of a request, which decides whether it may be retried."""
 
     READ = "read"
     WRITE = "write"
@@ -34,7 +34,7 @@
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """A failed attempt.
+    """A failed attempt to execute a request.
 
     Attributes
     ----------
@@ -42,30 +42,32 @@
         Class of the request. BEGIN and reads outside transactions are
         ``READ``; anything after BEGIN is ``IN_TRANSACTION``.
     kind : ErrorKind
-        How the attempt failed.
+        Kind of failure.
     bytes_sent : bool
-        Whether the first byte of the request may have left this host.
-    answer_bytes_sent : bool
-        Whether the caller already received a byte of an answer.
+        Whether any byte of the request may have left this host.
     deadline : float
         Deadline of the request, in monotonic seconds.
+    response_started : bool
+        Whether any byte of a response was already sent to the caller.
     errno : int
-        MySQL error number of the endpoint with ``STATEMENT_FAILED``.
+        MySQL error number that the endpoint returned, for
+        ``STATEMENT_FAILED``; otherwise 0.
     """
 
     request: Request
     kind: ErrorKind
     bytes_sent: bool
     deadline: float
-    answer_bytes_sent: bool = False
+    response_started: bool = False
     errno: int = 0
 
 
 def may_resend(attempt: Attempt, now: float) -> bool:
-    """Tell whether a failed attempt may be sent again.
+    """Return whether a failed attempt may be retried.
 
-    A write is sent again only if it provably never left this host or was
-    refused before execution. The retry budget is the caller's to ask.
+    A write is retried only if it certainly never left this host or was
+    rejected before execution. The retry budget is not checked here; that is
+    up to the caller.
 
     Examples
     --------
@@ -73,18 +75,18 @@
     >>> may_resend(late, 5.0)
     False
     """
-    if attempt.answer_bytes_sent or now >= attempt.deadline:
+    if attempt.response_started or now >= attempt.deadline:
         return False
     if attempt.request is Request.IN_TRANSACTION:
-        # The connection holds the transaction; without it the earlier
-        # statements are gone.
+        # The transaction is bound to its connection: the statements before
+        # this one are rolled back when the connection is lost.
         return False
-    refused = attempt.kind in REFUSED or (
+    rejected = attempt.kind in REJECTED_KINDS or (
         attempt.kind is ErrorKind.STATEMENT_FAILED
-        and attempt.errno in REFUSED_ERRNOS
+        and attempt.errno in REJECTED_ERRNOS
     )
-    if refused:
+    if rejected:
         return True
-    if attempt.kind not in ENDPOINT_FAULTS:
+    if attempt.kind not in ENDPOINT_FAULT_KINDS:
         return False
     return not attempt.bytes_sent or attempt.request is Request.READ
--- a/chivescale/retry/tests/steps/retry_steps.py
+++ b/chivescale/retry/tests/steps/retry_steps.py
@@ -1,4 +1,4 @@
-"""Steps for retries."""
+"""Steps for retry.feature."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 @when("a {request} fails with {kind}, {sent} and {answered}")
-def fails(context, request, kind, sent, answered):
+def fail_request(context, request, kind, sent, answered):
     kind, _, errno = kind.partition(":")
     context.attempt = Attempt(
         Request(request),
@@ -27,13 +27,13 @@
     )
 
 
-@then("it may be sent again: {again}")
-def sent_again(context, again):
-    assert may_resend(context.attempt, 10.0) == (again == "yes")
+@then("a retry is allowed: {expected}")
+def check_retry_allowed(context, expected):
+    assert may_resend(context.attempt, 10.0) == (expected == "yes")
 
 
 @given("a retry budget of {ratio:f} with a burst of {burst:d}")
-def budget(context, ratio, burst):
+def create_budget(context, ratio, burst):
     context.budget = RetryBudget(ratio, burst)
 
 
@@ -47,15 +47,15 @@
 
 
 @then("{low:d} to {high:d} retries were allowed")
-def allowed(context, low, high):
+def check_allowed(context, low, high):
     assert low <= context.allowed <= high, context.allowed
 
 
-@then("the pauses of attempts 0 to 99 stay within 0.01 to 0.5 s and vary")
-def pauses(context):
+@then("the delays of attempts 0 to 99 stay within 0.01 to 0.5 s and vary")
+def check_delays(context):
     rng = random.Random(1)
     for attempt in range(100):
-        bound = min(0.5, 0.01 * 2**attempt)
-        found = [backoff_s(attempt, rng) for _ in range(50)]
-        assert 0 <= min(found) < bound / 4, found
-        assert bound / 2 < max(found) <= bound, found
+        max_delay_s = min(0.5, 0.01 * 2**attempt)
+        delays = [backoff_s(attempt, rng) for _ in range(50)]
+        assert 0 <= min(delays) < max_delay_s / 4, delays
+        assert max_delay_s / 2 < max(delays) <= max_delay_s, delays
