--- a/chivescale/limits/__init__.py
+++ b/chivescale/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Rates, queues, concurrency limits and connection leases."""
+"""Rate limits, fair queues, concurrency limits and connection leases."""
 
 from chivescale.limits._adaptive import AdaptiveLimit
 from chivescale.limits._bucket import TokenBucket
--- a/chivescale/limits/_adaptive.py
+++ b/chivescale/limits/_adaptive.py
@@ -1,27 +1,28 @@
-"""Concurrency limit that follows the latency of an endpoint."""
+"""Adaptive concurrency limit driven by the latency of an endpoint."""
 
-# The limit falls when the smoothed latency exceeds the moving minimum by
-# this factor: statements then wait inside the endpoint.
-TOLERANCE = 2.0
-# Latencies this close to the minimum are noise of scheduling and network.
-NOISE_S = 0.002
-DECREASE = 0.9
-SMOOTHING = 0.2
-# The minimum is taken over one to two windows, so that it follows a lasting
-# change of the statements' cost.
+# The limit is reduced when the smoothed latency exceeds the windowed minimum
+# by this factor, which means that statements queue inside the endpoint.
+LATENCY_TOLERANCE = 2.0
+# Deviations from the minimum below this are scheduling and network noise.
+LATENCY_NOISE_S = 0.002
+DECREASE_FACTOR = 0.9
+# Weight of the newest latency in its moving average.
+LATENCY_WEIGHT = 0.2
+# The minimum covers one to two windows, so that it follows a lasting change
+# of the cost of statements.
 WINDOW_S = 10.0
 RAMP_S = 1.0
 
 
 class AdaptiveLimit:
-    """Additive increase, multiplicative decrease on latency.
+    """Concurrency limit with additive increase, multiplicative decrease.
 
     Parameters
     ----------
     initial : float
-        Start value: this host's share of the endpoint's slots.
+        Initial limit: this host's share of the slots of the endpoint.
     minimum, maximum : float
-        Bounds.
+        Bounds of the limit; `minimum` is at least 1.
     """
 
     def __init__(self, initial: float, minimum: float, maximum: float):
@@ -31,85 +32,86 @@
         self.in_use = 0
         self.latency_s = 0.0
         self.decreased_at = 0.0
-        self.ramp_start: float | None = None
+        self.ramp_started_at: float | None = None
         self.ramp_s = RAMP_S
-        self.window_start: float | None = None
-        self.window_minimum = float("inf")
-        self.last_minimum = float("inf")
+        self.window_started_at: float | None = None
+        self.window_min_s = float("inf")
+        self.previous_window_min_s = float("inf")
 
     @property
     def limit(self) -> int:
-        """Limit without regard to a ramp."""
+        """Current limit, ignoring a ramp."""
         return int(self.current)
 
     def limit_at(self, now: float) -> int:
-        """Return the limit at `now`, lower during a ramp."""
-        if self.ramp_start is None:
+        """Return the limit at `now`, which is lower during a ramp."""
+        if self.ramp_started_at is None:
             return int(self.current)
-        passed = (now - self.ramp_start) / self.ramp_s
-        if passed >= 1.0:
-            self.ramp_start = None
+        fraction = (now - self.ramp_started_at) / self.ramp_s
+        if fraction >= 1.0:
+            self.ramp_started_at = None
             return int(self.current)
         span = self.current - self.minimum
-        return int(self.minimum + span * max(0.0, passed))
+        return int(self.minimum + span * max(0.0, fraction))
 
     def ramp(self, now: float, ramp_s: float = RAMP_S) -> None:
-        """Restart at the minimum and rise over `ramp_s` seconds.
+        """Restart at the minimum and rise linearly over `ramp_s` seconds.
 
-        A new primary has cold caches and receives all writes that waited.
+        Used after a failover: a new primary has cold caches and receives all
+        writes that queued up meanwhile.
         """
-        self.ramp_start = now
+        self.ramp_started_at = now
         self.ramp_s = ramp_s
 
     def try_acquire(self, now: float) -> bool:
-        """Take one slot if the limit allows."""
+        """Take a slot if the limit allows it."""
         if self.in_use >= self.limit_at(now):
             return False
         self.in_use += 1
         return True
 
     def release(self, latency_s: float, ok: bool, now: float) -> None:
-        """Return a slot.
+        """Return a slot and adjust the limit.
 
         Parameters
         ----------
         latency_s : float
-            Time that the statement took.
+            Execution time of the statement.
         ok : bool
-            False on a timeout or when the endpoint reported overload; such
-            a latency measures nothing.
+            False on a timeout or when the endpoint reported overload; the
+            latency is then ignored and the limit is reduced.
         now : float
             Monotonic seconds.
         """
-        used = self.in_use
+        in_use_before = self.in_use
         self.in_use = max(0, self.in_use - 1)
         if not ok:
             self._decrease(now)
             return
-        self._observe(latency_s, now)
-        baseline = min(self.window_minimum, self.last_minimum)
-        if self.latency_s > TOLERANCE * baseline + NOISE_S:
+        self._record_latency(latency_s, now)
+        baseline_s = min(self.window_min_s, self.previous_window_min_s)
+        if self.latency_s > LATENCY_TOLERANCE * baseline_s + LATENCY_NOISE_S:
             self._decrease(now)
-        elif used >= int(self.current):
-            # Raise only while the limit is in use: otherwise the latency
-            # says nothing about a higher one.
+        elif in_use_before >= int(self.current):
+            # Raise the limit only while it is fully used: otherwise the
+            # latency says nothing about a higher limit.
             self.current = min(self.maximum, self.current + 1 / self.current)
 
-    def _observe(self, latency_s: float, now: float) -> None:
-        weight = SMOOTHING if self.latency_s else 1.0
+    def _record_latency(self, latency_s: float, now: float) -> None:
+        weight = LATENCY_WEIGHT if self.latency_s else 1.0
         self.latency_s += weight * (latency_s - self.latency_s)
-        if self.window_start is None:
-            self.window_start = now
-        elif now - self.window_start >= WINDOW_S:
-            self.last_minimum = self.window_minimum
-            self.window_minimum = float("inf")
-            self.window_start = now
-        self.window_minimum = min(self.window_minimum, self.latency_s)
+        if self.window_started_at is None:
+            self.window_started_at = now
+        elif now - self.window_started_at >= WINDOW_S:
+            self.previous_window_min_s = self.window_min_s
+            self.window_min_s = float("inf")
+            self.window_started_at = now
+        self.window_min_s = min(self.window_min_s, self.latency_s)
 
     def _decrease(self, now: float) -> None:
-        # Once per latency: the statements in flight at the time of a
-        # decrease all report the same congestion.
-        if now - self.decreased_at < max(self.latency_s, NOISE_S):
+        # At most once per latency: the statements in flight at the time of
+        # a decrease all report the same congestion.
+        if now - self.decreased_at < max(self.latency_s, LATENCY_NOISE_S):
             return
         self.decreased_at = now
-        self.current = max(self.minimum, self.current * DECREASE)
+        self.current = max(self.minimum, self.current * DECREASE_FACTOR)
--- a/chivescale/limits/_bucket.py
+++ b/chivescale/limits/_bucket.py
@@ -1,15 +1,15 @@
-"""Token bucket."""
+"""Token bucket rate limiter."""
 
 
 class TokenBucket:
-    """Allows `rate` events a second and up to `burst` at once.
+    """Token bucket: `rate` events per second, with bursts up to `burst`.
 
     Parameters
     ----------
     rate : float
-        Events a second; 0 means no limit.
+        Events per second; 0 means unlimited.
     burst : float
-        Most events at once.
+        Bucket capacity, in events; at least 1.
 
     Examples
     --------
@@ -27,7 +27,7 @@
         self.updated_at: float | None = None
 
     def try_take(self, now: float) -> bool:
-        """Take one event at monotonic second `now` if allowed."""
+        """Consume a token at monotonic time `now`; False if none is left."""
         if self.rate <= 0:
             return True
         if self.updated_at is not None:
--- a/chivescale/limits/_leases.py
+++ b/chivescale/limits/_leases.py
@@ -1,20 +1,21 @@
-"""Division of an endpoint's connections among entry hosts."""
+"""Leases that divide the connections of an endpoint among entry hosts."""
 
 import msgspec
 
 from chivescale.messages import Lease
 
-FLOOR_CONNECTIONS = 1
-# A host treats a lease as expired after this share of the lease time, counted
-# from the moment it sent the heartbeat: clock rates differ by up to 1%.
+MIN_CONNECTIONS = 1
+# Fraction of the lease time after which a host treats a lease as expired,
+# counted from the moment it sent the heartbeat. The margin covers clock rates
+# that differ by up to 1%.
 HOST_LEASE_SHARE = 0.98
 
 
-class _Share(msgspec.Struct):
-    """Leases of one host on one endpoint.
+class _HostLease(msgspec.Struct):
+    """Grants to one host on one endpoint.
 
-    A reduced lease may not have reached the host, so every grant counts
-    until it expires.
+    The reply with a smaller grant may be lost, so each grant counts until it
+    expires.
     """
 
     grants: list[tuple[float, int]] = []
@@ -28,37 +29,38 @@
 
 
 class LeaseBook:
-    """Connection leases that the control leader grants with heartbeats.
+    """Connection leases that the control leader grants in heartbeat replies.
 
-    Invariant: the unexpired grants on an endpoint never exceed its budget.
+    Invariant: the sum of the unexpired grants on an endpoint does not exceed
+    its budget.
 
     Parameters
     ----------
     lease_s : float
-        Lease time in seconds. A host counts `HOST_LEASE_SHARE` of it from
-        the moment it sent the heartbeat, so its view of a lease ends before
-        the leader's.
-    floor : int
-        Connections that every host gets first.
+        Lease time in seconds. A host uses a lease for `HOST_LEASE_SHARE` of
+        this time after it sent the heartbeat, so the lease expires on the
+        host before it expires on the leader.
+    minimum : int
+        Connections that each host gets before the rest is divided.
     started_at : float, optional
-        When this host became control leader, in monotonic seconds. Leases
-        of the former leader may be in force for one lease time after it.
-        Until then a host without a lease gets the floor, which may exceed
-        the budget by that much; the endpoint's own connection limit is the
-        safeguard.
+        When this host became control leader, in monotonic seconds; by
+        default the time of the first heartbeat. Leases of the previous
+        leader can be in force for one lease time after it. Until then a
+        host without a lease gets `minimum` connections, which can exceed
+        the budget; the endpoint's own connection limit is the safeguard.
     """
 
     def __init__(
         self,
         lease_s: float,
         *,
-        floor: int = FLOOR_CONNECTIONS,
+        minimum: int = MIN_CONNECTIONS,
         started_at: float | None = None,
     ):
         self.lease_s = lease_s
-        self.floor = floor
+        self.minimum = minimum
         self.started_at = started_at
-        self.shares: dict[str, dict[str, _Share]] = {}
+        self.shares: dict[str, dict[str, _HostLease]] = {}
 
     def heartbeat(
         self,
@@ -68,25 +70,25 @@
         budgets: dict[str, int],
         now: float,
     ) -> tuple[Lease, ...]:
-        """Grant leases to a host.
+        """Process a heartbeat of a host and return its leases.
 
         Parameters
         ----------
         host : str
-            Who asks.
+            Name of the host.
         held : tuple of Lease
-            Unexpired leases that the host holds.
+            Unexpired leases of the host.
         wanted : tuple of Lease
-            Connections that it could use.
-        budgets : dict
-            Connections that each endpoint accepts.
+            Connections that the host could use.
+        budgets : dict of str to int
+            Number of connections to divide per endpoint.
         now : float
             Monotonic seconds.
 
         Returns
         -------
         tuple of Lease
-            One for every endpoint of `budgets`, in force for `lease_s`
+            One lease for each endpoint of `budgets`, in force for `lease_s`
             from the moment the host sent its heartbeat.
         """
         if self.started_at is None:
@@ -112,7 +114,7 @@
         )
 
     def granted(self, endpoint: str, now: float) -> int:
-        """Return the connections in unexpired grants on an endpoint."""
+        """Return the sum of the unexpired grants on an endpoint."""
         self._expire(endpoint, now)
         shares = self.shares.get(endpoint, {})
         return sum(share.reserved() for share in shares.values())
@@ -129,29 +131,30 @@
     def _grant(self, host, endpoint, held, wanted, budget, now) -> int:
         before = self.granted(endpoint, now)
         shares = self.shares.setdefault(endpoint, {})
-        share = shares.setdefault(host, _Share([], 0))
+        share = shares.setdefault(host, _HostLease([], 0))
         share.wanted = max(0, wanted)
         others = before - share.reserved()
         if now < self.started_at + self.lease_s:
-            target = max(self.floor, held)
+            target = max(self.minimum, held)
         else:
             demands = {name: each.wanted for name, each in shares.items()}
-            target = max_min_shares(budget, self.floor, demands)[host]
+            target = max_min_shares(budget, self.minimum, demands)[host]
         count = max(0, min(target, budget - others))
         share.grants.append((now + self.lease_s, count))
-        after = others + share.reserved()
-        assert after <= max(budget, before), (endpoint, after, budget)
+        total = others + share.reserved()
+        assert total <= max(budget, before), (endpoint, total, budget)
         return count
 
 
 def max_min_shares(
-    budget: int, floor: int, demands: dict[str, int]
+    budget: int, minimum: int, demands: dict[str, int]
 ) -> dict[str, int]:
     """Divide `budget` among hosts, max-min fair by demand.
 
-    Each host gets the floor; the rest goes one by one to the hosts with the
-    fewest that still want more. Half of what nobody wants is spread as well,
-    so that a host whose demand rises need not wait for a heartbeat.
+    Each host first gets `minimum`. The rest is given out one by one
+    to the hosts with the fewest connections whose demand is not met. Half of
+    the surplus is divided as well, so that a host whose demand rises does not
+    have to wait for its next heartbeat.
 
     Examples
     --------
@@ -162,22 +165,24 @@
     """
     names = sorted(demands)
     shares = dict.fromkeys(names, 0)
-    left = _fill(shares, dict.fromkeys(names, floor), budget)
-    left = _fill(shares, demands, left)
-    spare = left // 2
-    _fill(shares, {name: shares[name] + spare for name in names}, spare)
+    remaining = _fill(shares, dict.fromkeys(names, minimum), budget)
+    remaining = _fill(shares, demands, remaining)
+    surplus = remaining // 2
+    _fill(shares, {name: shares[name] + surplus for name in names}, surplus)
     return shares
 
 
-def _fill(shares: dict[str, int], wanted: dict[str, int], left: int) -> int:
-    """Raise the lowest shares below `wanted` first; return what is left."""
-    while left > 0:
-        open_ = [name for name in shares if shares[name] < wanted[name]]
-        if not open_:
+def _fill(
+    shares: dict[str, int], wanted: dict[str, int], remaining: int
+) -> int:
+    """Raise shares up to `wanted`, lowest first; return the remainder."""
+    while remaining > 0:
+        unsatisfied = [name for name in shares if shares[name] < wanted[name]]
+        if not unsatisfied:
             break
-        lowest = min(shares[name] for name in open_)
-        level = [name for name in open_ if shares[name] == lowest]
-        for name in level[:left]:
+        lowest = min(shares[name] for name in unsatisfied)
+        lowest_hosts = [name for name in unsatisfied if shares[name] == lowest]
+        for name in lowest_hosts[:remaining]:
             shares[name] += 1
-        left -= min(left, len(level))
-    return left
+        remaining -= min(remaining, len(lowest_hosts))
+    return remaining
--- a/chivescale/limits/_queue.py
+++ b/chivescale/limits/_queue.py
@@ -1,4 +1,4 @@
-"""Fair queue of statements that wait for a slot of an endpoint."""
+"""Fair queue of statements waiting for a slot of an endpoint."""
 
 import heapq
 import typing
@@ -7,53 +7,53 @@
 
 from chivescale.errors import ErrorKind, Failure
 
-DEFAULT_PER_WORKSPACE = 256
-DEFAULT_TOTAL = 4096
-# Weight of the newest service interval in its moving average.
+DEFAULT_MAX_PER_WORKSPACE = 256
+DEFAULT_MAX_TOTAL = 4096
+# Weight of the newest service interval in the moving average.
 INTERVAL_WEIGHT = 0.1
 
 
 class _Entry(msgspec.Struct, order=True):
-    start: float
+    start_tag: float
     sequence: int
     item: typing.Any
     workspace: str
     deadline: float
-    gone: bool = False
+    removed: bool = False
 
 
 class FairQueue:
-    """Start-time fair queue over workspaces with equal weights.
+    """Start-time fair queue (SFQ) over workspaces with equal weights.
 
-    Each item has a start tag: the finish tag of the previous item of its
-    workspace, but not below the virtual time (the start tag taken last).
-    Items leave in order of start tags, so a workspace that offers ten times
-    the load gets its share and no more, and an idle workspace saves up no
-    credit.
+    The start tag of an item is the finish tag of the previous item of its
+    workspace, but at least the virtual time (the start tag of the item taken
+    last). Items are taken in order of start tags, so a workspace that offers
+    ten times the load still gets only its share, and an idle workspace does
+    not accumulate credit.
 
     Parameters
     ----------
     per_workspace, total : int
-        Most items that wait.
+        Maximum number of queued items per workspace and in total.
     """
 
     def __init__(
         self,
-        per_workspace: int = DEFAULT_PER_WORKSPACE,
-        total: int = DEFAULT_TOTAL,
+        per_workspace: int = DEFAULT_MAX_PER_WORKSPACE,
+        total: int = DEFAULT_MAX_TOTAL,
     ):
         self.per_workspace = per_workspace
         self.total = total
         self.virtual_time = 0.0
-        self.finish: dict[str, float] = {}
+        self.finish_tags: dict[str, float] = {}
         self.lengths: dict[str, int] = {}
         self.heap: list[_Entry] = []
-        self.by_deadline: list[tuple[float, int, _Entry]] = []
+        self.deadlines: list[tuple[float, int, _Entry]] = []
         self.entries: dict[int, _Entry] = {}
-        self.sequence = 0
-        # Moving average of the time between takes while items wait.
+        self.last_sequence = 0
+        # Moving average of the time between two takes while items wait.
         self.interval_s = 0.0
-        self.last_take: float | None = None
+        self.last_take_at: float | None = None
 
     def __len__(self) -> int:
         return len(self.entries)
@@ -66,46 +66,51 @@
         Parameters
         ----------
         workspace : str
-            Whose share it uses.
+            Workspace that the item is accounted to.
         item : object
-            Returned by `take` or `expire`.
+            Value that `take` or `expire` returns.
         deadline, now : float
             Monotonic seconds.
 
         Returns
         -------
         Failure or None
-            ``OVERLOADED`` if a bound is reached, ``DEADLINE_NOT_STARTED``
-            if the item would not start in time; None if queued.
+            ``OVERLOADED`` if the queue is full, ``DEADLINE_NOT_STARTED`` if
+            the item is not expected to start in time; None if it was queued.
         """
         length = self.lengths.get(workspace, 0)
         if length >= self.per_workspace or len(self) >= self.total:
             return Failure(
                 ErrorKind.OVERLOADED,
-                f"{length} statements of {workspace} and {len(self)} in "
-                "total wait for the endpoint",
+                f"queue of the endpoint is full: {length} statements of "
+                f"{workspace}, {len(self)} in total",
             )
         wait_s = self.estimated_wait_s(workspace)
         if now + wait_s >= deadline:
             return Failure(
                 ErrorKind.DEADLINE_NOT_STARTED,
-                f"expected wait of {wait_s:.3f} s exceeds the deadline",
+                f"estimated queueing time {wait_s:.3f} s exceeds the deadline",
             )
-        start = max(self.virtual_time, self.finish.get(workspace, 0.0))
-        self.finish[workspace] = start + 1.0
-        self.sequence += 1
-        entry = _Entry(start, self.sequence, item, workspace, deadline)
+        start_tag = max(
+            self.virtual_time, self.finish_tags.get(workspace, 0.0)
+        )
+        self.finish_tags[workspace] = start_tag + 1.0
+        self.last_sequence += 1
+        entry = _Entry(
+            start_tag, self.last_sequence, item, workspace, deadline
+        )
         if not self.entries:
-            # The time until now was idle, not service time.
-            self.last_take = None
-        self.entries[self.sequence] = entry
+            # The queue was empty: the time since the last take is idle time,
+            # not a service interval.
+            self.last_take_at = None
+        self.entries[self.last_sequence] = entry
         self.lengths[workspace] = length + 1
         heapq.heappush(self.heap, entry)
-        heapq.heappush(self.by_deadline, (deadline, self.sequence, entry))
+        heapq.heappush(self.deadlines, (deadline, self.last_sequence, entry))
         return None
 
     def estimated_wait_s(self, workspace: str) -> float:
-        """Return the expected wait of a new item, in seconds."""
+        """Return the expected queueing time of a new item, in seconds."""
         own = self.lengths.get(workspace, 0)
         ahead = own + sum(
             min(length, own + 1)
@@ -115,48 +120,49 @@
         return ahead * self.interval_s
 
     def take(self, now: float) -> object | None:
-        """Return the next item that can still start; None if there is none.
+        """Remove and return the next item whose deadline has not passed.
 
-        Items past their deadline stay for `expire`.
+        Returns None if there is none. Items past their deadline stay in the
+        queue until `expire` is called.
         """
-        late: list[_Entry] = []
+        expired_entries: list[_Entry] = []
         found = None
         while self.heap and found is None:
             entry = heapq.heappop(self.heap)
-            if entry.gone:
+            if entry.removed:
                 continue
             if entry.deadline <= now:
-                late.append(entry)
+                expired_entries.append(entry)
                 continue
             found = entry
-        for entry in late:
+        for entry in expired_entries:
             heapq.heappush(self.heap, entry)
         if found is None:
             return None
-        self.virtual_time = max(self.virtual_time, found.start)
+        self.virtual_time = max(self.virtual_time, found.start_tag)
         self._remove(found)
-        self._measure(now)
+        self._update_interval(now)
         return found.item
 
     def expire(self, now: float) -> list[tuple[object, Failure]]:
         """Remove and return the items whose deadline has passed."""
         expired = []
-        while self.by_deadline:
-            deadline, _, entry = self.by_deadline[0]
-            if not entry.gone and deadline > now:
+        while self.deadlines:
+            deadline, _, entry = self.deadlines[0]
+            if not entry.removed and deadline > now:
                 break
-            heapq.heappop(self.by_deadline)
-            if not entry.gone:
+            heapq.heappop(self.deadlines)
+            if not entry.removed:
                 self._remove(entry)
                 failure = Failure(
                     ErrorKind.DEADLINE_NOT_STARTED,
-                    "the deadline passed while waiting for the endpoint",
+                    "deadline exceeded while queued for the endpoint",
                 )
                 expired.append((entry.item, failure))
         return expired
 
     def cancel(self, item: object) -> bool:
-        """Remove a waiting item, compared by identity."""
+        """Remove a queued item, compared by identity; False if not queued."""
         for entry in self.entries.values():
             if entry.item is item:
                 self._remove(entry)
@@ -165,31 +171,32 @@
 
     def next_deadline(self) -> float | None:
         """Return when `expire` is due next, in monotonic seconds."""
-        while self.by_deadline and self.by_deadline[0][2].gone:
-            heapq.heappop(self.by_deadline)
-        return self.by_deadline[0][0] if self.by_deadline else None
+        while self.deadlines and self.deadlines[0][2].removed:
+            heapq.heappop(self.deadlines)
+        return self.deadlines[0][0] if self.deadlines else None
 
     def _remove(self, entry: _Entry) -> None:
-        entry.gone = True
+        entry.removed = True
         del self.entries[entry.sequence]
         self.lengths[entry.workspace] -= 1
         if not self.lengths[entry.workspace]:
             del self.lengths[entry.workspace]
         if not self.entries:
             self.heap.clear()
-            self.by_deadline.clear()
-            # An empty queue starts over; tags would grow without bound.
-            self.finish.clear()
+            self.deadlines.clear()
+            # Reset the tags while the queue is empty; otherwise they would
+            # grow without bound.
+            self.finish_tags.clear()
             self.virtual_time = 0.0
 
-    def _measure(self, now: float) -> None:
-        if self.last_take is not None:
-            elapsed = max(0.0, now - self.last_take)
+    def _update_interval(self, now: float) -> None:
+        if self.last_take_at is not None:
+            elapsed_s = max(0.0, now - self.last_take_at)
             weight = INTERVAL_WEIGHT if self.interval_s else 1.0
-            self.interval_s += weight * (elapsed - self.interval_s)
-        self.last_take = now
+            self.interval_s += weight * (elapsed_s - self.interval_s)
+        self.last_take_at = now
         if not self.entries:
-            # The endpoint caught up. An interval kept from an earlier stall
-            # would shed statements that could start at once.
-            self.last_take = None
+            # The endpoint caught up. An interval that still includes an
+            # earlier stall would reject statements that could start at once.
+            self.last_take_at = None
             self.interval_s = 0.0
--- a/chivescale/limits/_workspace.py
+++ b/chivescale/limits/_workspace.py
@@ -4,15 +4,16 @@
 from chivescale.limits._bucket import TokenBucket
 from chivescale.messages import WorkspaceRecord
 
-# Statements that a workspace may send at once, in seconds of its rate.
+# Burst size of the rate limit, in seconds of the workspace's rate.
 BURST_S = 1.0
 
 
 class WorkspaceLimits:
-    """Connections, concurrent statements and rate of one workspace.
+    """Connection, concurrency and rate limits of one workspace.
 
-    Every ``open_`` or ``start_`` that returned None must be followed by
-    exactly one ``close_`` or ``finish_``.
+    Each call of `open_connection` or `start_statement` that returns None must
+    be followed by exactly one call of `close_connection` or
+    `finish_statement`.
     """
 
     def __init__(self, record: WorkspaceRecord):
@@ -22,44 +23,56 @@
         self.update(record)
 
     def update(self, record: WorkspaceRecord) -> None:
-        """Take over the limits of a newer sheet."""
+        """Apply the limits of a newer sheet."""
         self.record = record
         if self.bucket.rate != record.max_rate:
             burst = record.max_rate * BURST_S
             self.bucket = TokenBucket(record.max_rate, burst)
 
     def open_connection(self) -> Failure | None:
-        """Count a connection, or return ``CONNECTION_LIMIT``."""
+        """Count a new connection.
+
+        Returns
+        -------
+        Failure or None
+            ``CONNECTION_LIMIT``; None if the connection is accepted.
+        """
         limit = self.record.max_connections
         if limit and self.connections >= limit:
-            return self._reached(ErrorKind.CONNECTION_LIMIT, limit)
+            return self._limit_exceeded(ErrorKind.CONNECTION_LIMIT, limit)
         self.connections += 1
         return None
 
     def close_connection(self) -> None:
-        """Uncount a connection."""
+        """Decrement the number of open connections."""
         self.connections -= 1
 
     def start_statement(self, now: float) -> Failure | None:
-        """Count a statement.
+        """Count a new statement.
 
         Returns
         -------
         Failure or None
-            ``CONCURRENCY_LIMIT`` or ``RATE_LIMIT``.
+            ``CONCURRENCY_LIMIT`` or ``RATE_LIMIT``; None if the statement may
+            run.
         """
         limit = self.record.max_concurrent
         if limit and self.statements >= limit:
-            return self._reached(ErrorKind.CONCURRENCY_LIMIT, limit)
+            return self._limit_exceeded(ErrorKind.CONCURRENCY_LIMIT, limit)
         if not self.bucket.try_take(now):
-            return self._reached(ErrorKind.RATE_LIMIT, self.record.max_rate)
+            return self._limit_exceeded(
+                ErrorKind.RATE_LIMIT, self.record.max_rate
+            )
         self.statements += 1
         return None
 
     def finish_statement(self) -> None:
-        """Uncount a statement."""
+        """Decrement the number of running statements."""
         self.statements -= 1
 
-    def _reached(self, kind: ErrorKind, limit: float) -> Failure:
+    def _limit_exceeded(self, kind: ErrorKind, limit: float) -> Failure:
         name = kind.value.replace("_", " ")
-        return Failure(kind, f"{name} {limit:g} of {self.record.name}")
+        return Failure(
+            kind,
+            f"{name} of {limit:g} reached by workspace {self.record.name}",
+        )
--- a/chivescale/limits/tests/random_limits.py
+++ b/chivescale/limits/tests/random_limits.py
@@ -1,4 +1,4 @@
-"""Random runs of the fair queue and the lease book."""
+"""Randomized tests of the fair queue and of connection leases."""
 
 import random
 
@@ -10,32 +10,32 @@
 
 
 def run_queue(seed: int, steps: int) -> dict[str, int]:
-    """Offer ten times the load of others from one workspace.
+    """Check that one workspace with ten times the load starves no other.
 
-    A modest workspace with one statement waiting must be served within one
-    round of the workspaces, and a backlogged one within its share.
+    A workspace that has one statement queued must be served within two
+    rounds over all workspaces.
     """
     rng = random.Random(seed)
     queue = FairQueue(per_workspace=50, total=10000)
-    modest = [f"m{number}" for number in range(rng.randint(1, 6))]
-    served = dict.fromkeys(["greedy", *modest], 0)
-    passed = dict.fromkeys(modest, 0)
+    light_workspaces = [f"m{number}" for number in range(rng.randint(1, 6))]
+    served = dict.fromkeys(["greedy", *light_workspaces], 0)
+    overtaken = dict.fromkeys(light_workspaces, 0)
     now = 0.0
     for _ in range(steps):
         now += 0.01
         for _ in range(10):
             queue.offer("greedy", "greedy", now + 1000.0, now)
-        for name in modest:
+        for name in light_workspaces:
             if rng.random() < 0.3 and name not in queue.lengths:
                 assert queue.offer(name, name, now + 1000.0, now) is None
-                passed[name] = 0
+                overtaken[name] = 0
         name = queue.take(now)
         served[name] += 1
         for other in queue.lengths:
             if other != "greedy" and other != name:
-                passed[other] += 1
-                bound = 2 * (len(modest) + 1)
-                assert passed[other] <= bound, f"{other} starves"
+                overtaken[other] += 1
+                bound = 2 * (len(light_workspaces) + 1)
+                assert overtaken[other] <= bound, f"{other} starves"
     return served
 
 
@@ -49,25 +49,25 @@
 
 
 def run_leases(seed: int, steps: int) -> int:
-    """Lose heartbeats, crash hosts and change leaders; check the budget."""
+    """Check the budget while replies get lost, hosts crash, leaders change."""
     rng = random.Random(seed)
     hosts = {f"h{number}": _Host() for number in range(5)}
-    book = LeaseBook(LEASE_S, started_at=-LEASE_S)
-    now, most, fresh = 0.0, 0, 0
+    leases = LeaseBook(LEASE_S, started_at=-LEASE_S)
+    now, max_total, excess = 0.0, 0, 0
     for _ in range(steps):
         now += rng.choice((0.01, 0.1, 0.5))
         if rng.random() < 0.01:
-            book = LeaseBook(LEASE_S, started_at=now)
-            # Floors of hosts without a lease may come on top.
-            fresh = sum(1 for each in hosts.values() if not each.held(now))
+            leases = LeaseBook(LEASE_S, started_at=now)
+            # Hosts without a lease may get their minimum beyond the budget.
+            excess = sum(1 for each in hosts.values() if not each.held(now))
         name, host = rng.choice(list(hosts.items()))
         if rng.random() < 0.02:
             hosts[name] = _Host()
-            fresh += int(now < book.started_at + LEASE_S)
+            excess += int(now < leases.started_at + LEASE_S)
         wanted = rng.choice((0, 1, 5, 30))
         sent_at = now
         now += rng.choice((0.0, 0.05))
-        (lease,) = book.heartbeat(
+        (lease,) = leases.heartbeat(
             name,
             (Lease("e", host.held(sent_at)),),
             (Lease("e", wanted),),
@@ -77,16 +77,16 @@
         if rng.random() < 0.8:
             host.lease = lease.connections
             host.until = sent_at + LEASE_S * HOST_LEASE_SHARE
-        if now >= book.started_at + 2 * LEASE_S:
-            fresh = 0
+        if now >= leases.started_at + 2 * LEASE_S:
+            excess = 0
         total = sum(each.held(now) for each in hosts.values())
-        assert total <= BUDGET + fresh, f"{total} of {BUDGET} + {fresh}"
-        assert book.granted("e", now) <= BUDGET
-        most = max(most, total)
-    return most
+        assert total <= BUDGET + excess, f"{total} of {BUDGET} + {excess}"
+        assert leases.granted("e", now) <= BUDGET
+        max_total = max(max_total, total)
+    return max_total
 
 
 def run_random(seed: int, steps: int) -> None:
-    """Run both."""
+    """Run both tests with one seed."""
     run_queue(seed, steps)
     run_leases(seed, steps)
