--- a/chivescale/pool/_pool.py
+++ b/chivescale/pool/_pool.py
@@ -1,4 +1,4 @@
-"""Asyncio shell of the connection pool."""
+"""Asyncio connection pool."""
 
 import asyncio
 import collections.abc
@@ -18,7 +18,9 @@
 
 
 class Pool:
-    """Connections to one endpoint.
+    """Pool of connections to one endpoint.
+
+    Executes the effects of `PoolState`.
 
     Parameters
     ----------
@@ -27,11 +29,13 @@
     connect : callable
         ``async (record, deadline) -> ClientConnection or Failure``.
     clock : callable, optional
-        Monotonic time in seconds; that of the event loop by default.
-    connect_timeout_s, idle_s : float
-        Limits for opening a connection and for keeping it unused.
+        Returns the monotonic time in seconds.
+    connect_timeout_s : float, optional
+        Timeout for opening a connection.
+    idle_s : float, optional
+        Time after which an idle connection is closed.
     rng : random.Random, optional
-        Source of the back-off's jitter.
+        Random number generator for the jitter of the backoff.
     """
 
     def __init__(
@@ -50,20 +54,20 @@
         self.connect_timeout_s = connect_timeout_s
         self.state = state.PoolState(idle_s, rng or random.Random())
         self.connections: dict[int, ClientConnection] = {}
-        self.numbers: dict[ClientConnection, int] = {}
-        self.waiting: dict[int, asyncio.Future] = {}
-        self.opening: set[asyncio.Task] = set()
+        self.connection_ids: dict[ClientConnection, int] = {}
+        self.waiters: dict[int, asyncio.Future] = {}
+        self.connect_tasks: set[asyncio.Task] = set()
         self.timer: asyncio.TimerHandle | None = None
-        self.next_ticket = 1
+        self.next_request_id = 1
 
     @property
     def held(self) -> int:
-        """Connections open or on their way."""
+        """Number of connections that are open or being opened."""
         return self.state.held
 
     @property
     def wanted(self) -> int:
-        """Connections that the present requests could use."""
+        """Number of connections that the current requests could use."""
         return self.state.wanted
 
     async def acquire(
@@ -76,38 +80,43 @@
         deadline : float
             Monotonic time in seconds.
         workspace : str
-            Workspaces that wait are served in turn.
+            Workspace of the request; queued workspaces are served
+            round-robin.
 
         Returns
         -------
-        connection or Failure
+        ClientConnection or Failure
             ``DEADLINE_NOT_STARTED``, ``UNREACHABLE``, ``OVERLOADED`` or
             the failure of the login.
         """
-        for number in list(self.state.idle):
-            if not self.connections[number].usable:
-                self._step(state.Lost(number))
-        ticket = self.next_ticket
-        self.next_ticket += 1
+        for connection_id in list(self.state.idle):
+            if not self.connections[connection_id].usable:
+                self._step(state.ConnectionLost(connection_id))
+        request_id = self.next_request_id
+        self.next_request_id += 1
         future = asyncio.get_running_loop().create_future()
-        self.waiting[ticket] = future
-        self._step(state.Acquire(ticket, workspace, deadline))
+        self.waiters[request_id] = future
+        self._step(state.Acquire(request_id, workspace, deadline))
         try:
             return await future
         except asyncio.CancelledError:
-            # The connection may have been handed over just before.
+            # A connection may have been assigned just before.
             if future.done() and not future.cancelled():
-                given = future.result()
-                if not is_failure(given):
-                    self.release(given)
-            self.waiting.pop(ticket, None)
-            self._step(state.Cancel(ticket))
+                assigned = future.result()
+                if not is_failure(assigned):
+                    self.release(assigned)
+            self.waiters.pop(request_id, None)
+            self._step(state.Cancel(request_id))
             raise
 
     def release(self, connection: ClientConnection) -> None:
-        """Give a connection back; only a clean one is kept."""
-        number = self.numbers.get(connection)
-        if number is None:
+        """Return a connection to the pool.
+
+        A connection that is unusable, in a transaction or has changed
+        session state is closed instead of being reused.
+        """
+        connection_id = self.connection_ids.get(connection)
+        if connection_id is None:
             connection.close()
             return
         keep = (
@@ -115,21 +124,24 @@
             and not connection.in_transaction
             and not connection.session_changed
         )
-        self._step(state.Released(number, keep))
+        self._step(state.Released(connection_id, keep))
 
     def set_limit(self, connections: int) -> None:
-        """Apply the lease; the floor is one connection."""
-        if max(connections, state.FLOOR_CONNECTIONS) != self.state.limit:
+        """Set the connection limit of the lease, at least one connection."""
+        if max(connections, state.MIN_CONNECTIONS) != self.state.limit:
             self._step(state.SetLimit(connections))
 
     def suspect_silence(self) -> None:
-        """Stop using all present connections after an answer was lost."""
-        self._step(state.Silence())
+        """Retire all open connections after the endpoint failed to respond.
+
+        Idle connections are closed now, busy ones when they are released.
+        """
+        self._step(state.SuspectConnections())
 
     def close(self) -> None:
-        """Close unused connections; busy ones close when released."""
-        self._step(state.Close())
-        for task in list(self.opening):
+        """Close idle connections now and busy ones when they are released."""
+        self._step(state.ClosePool())
+        for task in list(self.connect_tasks):
             task.cancel()
         if self.timer is not None:
             self.timer.cancel()
@@ -143,22 +155,22 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        due = self.state.next_time()
+        due = self.state.next_tick_at()
         if due is not None:
             loop = asyncio.get_running_loop()
             delay_s = max(0.0, due - self.clock())
             self.timer = loop.call_later(delay_s, self._step, state.Tick())
 
-    def _open(self, effect: state.Open) -> None:
-        task = asyncio.ensure_future(self._connect(effect.connection))
-        self.opening.add(task)
-        task.add_done_callback(self.opening.discard)
+    def _open_connection(self, effect: state.OpenConnection) -> None:
+        task = asyncio.ensure_future(self._connect(effect.connection_id))
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
 
-    async def _connect(self, number: int) -> None:
+    async def _connect(self, connection_id: int) -> None:
         deadline = self.clock() + self.connect_timeout_s
         try:
             outcome = await self.connect(self.record, deadline)
-        except Exception as err:  # requests wait for an answer
+        except Exception as err:  # queued requests need a result
             outcome = Failure(ErrorKind.UNREACHABLE, repr(err))
         if is_failure(outcome):
             log_event(
@@ -168,37 +180,37 @@
                 kind=outcome.kind.value,
                 reason=outcome.reason,
             )
-            self._step(state.ConnectFailed(number, outcome))
+            self._step(state.ConnectFailed(connection_id, outcome))
             return
-        self.connections[number] = outcome
-        self.numbers[outcome] = number
-        self._step(state.Connected(number))
+        self.connections[connection_id] = outcome
+        self.connection_ids[outcome] = connection_id
+        self._step(state.Connected(connection_id))
 
-    def _give(self, effect: state.Give) -> None:
-        connection = self.connections[effect.connection]
-        future = self.waiting.pop(effect.ticket, None)
+    def _assign(self, effect: state.Assign) -> None:
+        connection = self.connections[effect.connection_id]
+        future = self.waiters.pop(effect.request_id, None)
         if future is None or future.done():
-            # Its request was cancelled in this very iteration.
+            # The request was cancelled in this iteration of the event loop.
             loop = asyncio.get_running_loop()
             loop.call_soon(self.release, connection)
             return
         future.set_result(connection)
 
-    def _refuse(self, effect: state.Refuse) -> None:
-        future = self.waiting.pop(effect.ticket, None)
+    def _reject(self, effect: state.Reject) -> None:
+        future = self.waiters.pop(effect.request_id, None)
         if future is not None and not future.done():
             future.set_result(effect.failure)
 
-    def _discard(self, effect: state.Discard) -> None:
-        connection = self.connections.pop(effect.connection, None)
+    def _close_connection(self, effect: state.CloseConnection) -> None:
+        connection = self.connections.pop(effect.connection_id, None)
         if connection is not None:
-            del self.numbers[connection]
+            del self.connection_ids[connection]
             connection.close()
 
 
 _EFFECTS = {
-    state.Open: Pool._open,
-    state.Give: Pool._give,
-    state.Refuse: Pool._refuse,
-    state.Discard: Pool._discard,
+    state.OpenConnection: Pool._open_connection,
+    state.Assign: Pool._assign,
+    state.Reject: Pool._reject,
+    state.CloseConnection: Pool._close_connection,
 }
--- a/chivescale/pool/tests/steps/shell_steps.py
+++ b/chivescale/pool/tests/steps/shell_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the asyncio shell of the pool, with stand-in connections."""
+"""Steps for the asyncio pool, with fake connections."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class Connection:
-    """Connection without a socket."""
+    """Fake connection without a socket."""
 
     def __init__(self):
         self.usable = True
@@ -40,23 +40,27 @@
     return pool, opened
 
 
-def _soon(seconds=1.0):
+def _deadline_in(seconds=1.0):
     return time.monotonic() + seconds
 
 
 @given(
     "a pool with a connection that is usable {usable}, in a transaction"
-    " {open_} and changed {changed}"
+    " {in_transaction} and changed {changed}"
 )
-def connection_in_state(context, usable, open_, changed):
-    context.state = (usable == "yes", open_ == "yes", changed == "yes")
+def set_connection_state(context, usable, in_transaction, changed):
+    context.state = (
+        usable == "yes",
+        in_transaction == "yes",
+        changed == "yes",
+    )
 
 
 @when("the connection is released")
-def release(context):
+def release_connection(context):
     async def run():
         pool, _ = _make_pool()
-        connection = await pool.acquire(_soon(), "a")
+        connection = await pool.acquire(_deadline_in(), "a")
         (
             connection.usable,
             connection.in_transaction,
@@ -64,22 +68,22 @@
         ) = context.state
         pool.release(connection)
         context.kept = pool.held == 1
-        again = await pool.acquire(_soon(), "a")
+        again = await pool.acquire(_deadline_in(), "a")
         context.same = again is connection
         pool.close()
 
     asyncio.run(run())
 
 
-@then("the pool keeps it: {kept}")
-def keeps(context, kept):
-    assert context.kept == context.same == (kept == "yes")
+@then("the pool reuses it: {reused}")
+def check_reused(context, reused):
+    assert context.kept == context.same == (reused == "yes")
 
 
-@then("requests cancelled at any moment leave every connection free")
-def cancelled_requests(context):
+@then("no connection stays busy when requests are cancelled at random times")
+def check_cancelled_requests(context):
     async def use(pool):
-        connection = await pool.acquire(_soon(), "a")
+        connection = await pool.acquire(_deadline_in(), "a")
         if not is_failure(connection):
             try:
                 await asyncio.sleep(0)
@@ -98,7 +102,7 @@
         for _ in range(5):
             await asyncio.sleep(0)
         assert not pool.state.busy, f"seed {seed}: busy connections left"
-        assert not pool.state.queued, f"seed {seed}: requests left"
+        assert not pool.state.queued, f"seed {seed}: queued requests left"
         assert pool.held == sum(c.usable for c in opened)
         pool.close()
 
@@ -107,27 +111,29 @@
 
 
 @given("a pool whose only connection is busy")
-def busy_pool(context):
+def create_busy_pool(context):
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
 
     async def run():
         context.pool, context.opened = _make_pool()
-        context.connection = await context.pool.acquire(_soon(), "a")
+        context.connection = await context.pool.acquire(_deadline_in(), "a")
 
     context.loop.run_until_complete(run())
 
 
-@when("a request with a deadline in {ms:d} ms waits")
-def waits_until_deadline(context, ms):
-    request = context.pool.acquire(_soon(ms / 1000), "a")
+@when("a request with a deadline in {ms:d} ms is queued")
+def wait_until_deadline(context, ms):
+    request = context.pool.acquire(_deadline_in(ms / 1000), "a")
     context.outcome = context.loop.run_until_complete(request)
 
 
-@when("the pool closes while a request waits")
-def closes_while_waiting(context):
+@when("the pool is closed while a request is queued")
+def close_with_queued_request(context):
     async def run():
-        request = asyncio.create_task(context.pool.acquire(_soon(), "a"))
+        request = asyncio.create_task(
+            context.pool.acquire(_deadline_in(), "a")
+        )
         await asyncio.sleep(0)
         context.pool.close()
         return await request
@@ -135,21 +141,21 @@
     context.outcome = context.loop.run_until_complete(run())
 
 
-@then("the request ends with {kind}")
-def request_ends(context, kind):
+@then("the request fails with {kind}")
+def check_failure(context, kind):
     assert context.outcome.kind.value == kind
 
 
-@then("the busy connection closes when released")
-def busy_closes(context):
+@then("the busy connection is closed when released")
+def check_busy_closed(context):
     assert context.connection.usable
     context.pool.release(context.connection)
     assert not context.connection.usable
 
 
 @given("a pool with an idle connection that the endpoint closed")
-def closed_by_endpoint(context):
-    busy_pool(context)
+def close_by_endpoint(context):
+    create_busy_pool(context)
 
     async def run():
         context.pool.release(context.connection)
@@ -158,13 +164,13 @@
     context.loop.run_until_complete(run())
 
 
-@when("a request asks for a connection")
-def asks(context):
+@when("a connection is requested")
+def request_connection(context):
     context.outcome = context.loop.run_until_complete(
-        context.pool.acquire(_soon(), "a")
+        context.pool.acquire(_deadline_in(), "a")
     )
 
 
-@then("it gets another connection")
-def gets_another(context):
+@then("a new connection is returned")
+def check_new_connection(context):
     assert context.outcome is context.opened[1]
