--- a/chivescale/routing/__init__.py
+++ b/chivescale/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Classification of statements, hints and the choice of an endpoint."""
+"""Statement classification, hints and endpoint selection."""
 
 from chivescale.routing._choose import Candidate, Need, choose_endpoint
 from chivescale.routing._classify import (
--- a/chivescale/routing/_choose.py
+++ b/chivescale/routing/_choose.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint for one statement."""
+"""Selection of an endpoint for a statement."""
 
 import random
 
@@ -7,16 +7,17 @@
 from chivescale.errors import ErrorKind, Failure
 from chivescale.messages import Position
 
-# Replicas take this many times their slots before the primary is used: a
-# short queue at a replica costs less than load on the primary.
-QUEUE_FACTOR = 2.0
-# Added to the latency estimate of endpoints in other zones.
-CROSS_ZONE_S = 0.002
-LATENCY_FLOOR_S = 0.0005
+# Reads go to the primary only when the load of each replica has reached this
+# multiple of its limit: a short queue at a replica costs less than additional
+# load on the primary.
+MAX_REPLICA_LOAD_FACTOR = 2.0
+# Added to the latency of endpoints in other availability zones.
+CROSS_ZONE_PENALTY_S = 0.002
+MIN_LATENCY_S = 0.0005
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """An endpoint as the host knows it.
+    """State of an endpoint as known to this host.
 
     Attributes
     ----------
@@ -25,21 +26,22 @@
     primary : bool
         Whether it is the primary of the published term.
     leaving : bool
-        Whether it takes no new work.
+        Whether it is leaving and accepts no new statements.
     in_use, limit : int
-        Statements running or waiting there from this host, and the
-        concurrency limit.
+        Number of running and queued statements of this host on the
+        endpoint, and the concurrency limit.
     latency_s : float
         Smoothed latency.
     proven_age_s : float or None
-        From `Freshness`; None if nothing is proven.
+        Upper bound of the age of its data, from `Freshness`; None if there
+        is no bound.
     holds_position : bool
-        Whether it provably holds the position of the `Need`; true if the
-        need has none.
+        Whether it is proven to hold the position of the `Need`; true if the
+        need has no position.
     promised_ok : bool
-        Whether it promised the highest known term.
+        Whether it has promised the highest known term.
     suspect : bool
-        Whether its last connection failed or went silent.
+        Whether its last connection failed or stopped responding.
     """
 
     endpoint: str
@@ -56,19 +58,19 @@
 
 
 class Need(msgspec.Struct, frozen=True):
-    """What a statement needs of its endpoint.
+    """Requirements of a statement on its endpoint.
 
     Attributes
     ----------
     write : bool
-        Whether only the primary will do.
+        Whether the statement must run on the primary.
     zone : str
-        Zone of this host.
+        Availability zone of this host.
     position : Position or None
-        What the session must see.
+        Position that the endpoint must have reached.
     max_age_s : float or None
-        Accepted staleness; None if `position` comes from a barrier of this
-        read and therefore suffices.
+        Accepted staleness; None if `position` is the result of a barrier
+        for this read, so that the age does not matter.
     """
 
     write: bool = False
@@ -80,49 +82,54 @@
 def choose_endpoint(
     candidates: list[Candidate], need: Need, rng: random.Random
 ) -> str | Failure:
-    """Return the endpoint for a statement.
+    """Select the endpoint for a statement.
 
-    Reads go to an eligible replica, to one with a free slot in the own zone
-    first. The primary serves a read only if no replica is eligible or all
-    have more than `QUEUE_FACTOR` times their limit in use.
+    Reads prefer an eligible replica, first one with a free slot in the zone
+    of this host. The primary serves a read only if no replica is eligible or
+    the load of each is at least `MAX_REPLICA_LOAD_FACTOR` times its limit.
+    Suspect endpoints are used only if no other endpoint is eligible.
 
     Parameters
     ----------
     candidates : list of Candidate
         Endpoints of the service.
     need : Need
-        What the statement needs.
+        Requirements of the statement.
     rng : random.Random
-        Source of randomness.
+        Random number generator.
 
     Returns
     -------
     str or Failure
-        ``NO_PRIMARY`` for a write, ``FRESHNESS_UNPROVED`` for a read.
+        Name of the endpoint, or ``NO_PRIMARY`` for a write and
+        ``FRESHNESS_UNPROVED`` for a read that no endpoint can serve.
     """
     if need.write:
         return _choose_primary(candidates)
-    eligible = [each for each in candidates if _eligible(each, need)]
+    eligible = [each for each in candidates if _is_eligible(each, need)]
     if not eligible:
         return Failure(
-            ErrorKind.FRESHNESS_UNPROVED, _explain(candidates, need)
+            ErrorKind.FRESHNESS_UNPROVED,
+            _describe_rejections(candidates, need),
         )
-    steady = [each for each in eligible if not each.suspect]
-    replicas = [each for each in steady if not each.primary]
-    primary = [each for each in steady if each.primary]
-    for group in _groups(replicas, primary, need.zone):
+    healthy = [each for each in eligible if not each.suspect]
+    replicas = [each for each in healthy if not each.primary]
+    primary = [each for each in healthy if each.primary]
+    for group in _preference_groups(replicas, primary, need.zone):
         if group:
-            return _best_of_two(group, need.zone, rng)
-    return _best_of_two(steady or eligible, need.zone, rng)
+            return _choose_least_loaded(group, need.zone, rng)
+    return _choose_least_loaded(healthy or eligible, need.zone, rng)
 
 
-def _groups(replicas, primary, zone):
+def _preference_groups(replicas, primary, zone):
     """Yield groups of endpoints in order of preference."""
     free = [each for each in replicas if each.in_use < each.limit]
     yield [each for each in free if each.zone == zone]
     yield free
     yield [
-        each for each in replicas if each.in_use < each.limit * QUEUE_FACTOR
+        each
+        for each in replicas
+        if each.in_use < each.limit * MAX_REPLICA_LOAD_FACTOR
     ]
     yield [each for each in primary if each.in_use < each.limit]
 
@@ -137,45 +144,46 @@
     return primary.endpoint
 
 
-def _eligible(candidate: Candidate, need: Need) -> bool:
-    return not _objection(candidate, need)
+def _is_eligible(candidate: Candidate, need: Need) -> bool:
+    return not _rejection_reason(candidate, need)
 
 
-def _objection(candidate: Candidate, need: Need) -> str:
+def _rejection_reason(candidate: Candidate, need: Need) -> str:
     """Return why a candidate cannot serve a read; empty if it can."""
     if candidate.leaving:
-        return "leaving"
+        return "is leaving"
     if not candidate.promised_ok:
-        return "behind the promised term"
+        return "has not promised the current term"
     if need.position is not None and not candidate.holds_position:
-        return "behind the position"
+        return "has not reached the position"
     if need.max_age_s is not None:
         age = candidate.proven_age_s
         if age is None:
-            return "no proven age"
+            return "has no proven age"
         if age > need.max_age_s:
-            return f"proven age {age:.3f} s"
+            return f"proven age of {age:.3f} s exceeds the limit"
     return ""
 
 
-def _explain(candidates: list[Candidate], need: Need) -> str:
+def _describe_rejections(candidates: list[Candidate], need: Need) -> str:
     if not candidates:
         return "no endpoint is known"
     return "; ".join(
-        f"{each.endpoint}: {_objection(each, need)}" for each in candidates
+        f"{each.endpoint}: {_rejection_reason(each, need)}"
+        for each in candidates
     )
 
 
-def _best_of_two(group, zone: str, rng: random.Random) -> str:
-    # Two random choices: taking the least loaded of all would send every
-    # host to the same endpoint at once.
+def _choose_least_loaded(group, zone: str, rng: random.Random) -> str:
+    # Power of two random choices: if each host took the least loaded
+    # endpoint, all hosts would choose the same one at the same time.
     pair = group if len(group) <= 2 else rng.sample(group, 2)
     costs = [(_cost(each, zone), rng.random(), each) for each in pair]
     return min(costs, key=lambda cost: cost[:2])[2].endpoint
 
 
 def _cost(candidate: Candidate, zone: str) -> float:
-    latency = max(candidate.latency_s, LATENCY_FLOOR_S)
+    latency = max(candidate.latency_s, MIN_LATENCY_S)
     if candidate.zone != zone:
-        latency += CROSS_ZONE_S
+        latency += CROSS_ZONE_PENALTY_S
     return latency * (candidate.in_use + 1) / max(candidate.limit, 1)
--- a/chivescale/routing/_hints.py
+++ b/chivescale/routing/_hints.py
@@ -1,4 +1,4 @@
-"""Hints that accompany a statement."""
+"""Parsing of hints that callers attach to statements."""
 
 import re
 
@@ -8,11 +8,11 @@
 
 MAX_STALENESS_MS = 24 * 3600 * 1000
 MAX_DEADLINE_MS = 3600 * 1000
-_COMMENT = re.compile(r"\s*/\*\s*chivescale\b(.*?)\*/", re.DOTALL)
-_PAIR = re.compile(r"\s*([a-z_]+)\s*=\s*(?:'([^']*)'|([^\s']+))")
+_HINT_COMMENT = re.compile(r"\s*/\*\s*chivescale\b(.*?)\*/", re.DOTALL)
+_HINT_PAIR = re.compile(r"\s*([a-z_]+)\s*=\s*(?:'([^']*)'|([^\s']+))")
 _KEY = re.compile(r"[\x21-\x7e]{1,128}", re.ASCII)
 _NUMBER = re.compile(r"[0-9]{1,10}", re.ASCII)
-_LIMITS = {
+_NUMBER_RANGES = {
     "staleness_ms": (0, MAX_STALENESS_MS),
     "deadline_ms": (1, MAX_DEADLINE_MS),
 }
@@ -20,18 +20,18 @@
 
 
 class Hints(msgspec.Struct, frozen=True):
-    """What a caller asked for; None where it asked for nothing.
+    """Hints of a statement; None for hints that were not given.
 
     Attributes
     ----------
     staleness_ms : int or None
-        Accepted age of a read.
+        Accepted staleness of a read, in milliseconds.
     key : str or None
         Idempotency key of a write.
     deadline_ms : int or None
-        Time to answer.
+        Time limit of the statement, in milliseconds.
     token : str or None
-        Session token, not yet checked.
+        Session token, not yet validated.
     """
 
     staleness_ms: int | None = None
@@ -40,25 +40,25 @@
     token: str | None = None
 
 
-_NONE = Hints()
+_NO_HINTS = Hints()
 
 
 def parse_hints(sql: str, attrs: dict | None = None) -> Hints | Failure:
-    """Return the hints of a statement.
+    """Parse the hints of a statement.
 
     Parameters
     ----------
     sql : str
-        Statement, possibly with a leading ``/* chivescale ... */``.
+        Statement, possibly with a leading ``/* chivescale ... */`` comment.
     attrs : dict, optional
-        Query attributes, or session variables without their ``@``: names
-        with the prefix ``chivescale_`` count.
+        Query attributes, or session variables without their ``@``. Names
+        without the prefix ``chivescale_`` are ignored.
 
     Returns
     -------
     Hints or Failure
-        ``BAD_REQUEST`` naming the hint that is unknown, invalid or given
-        twice with different values.
+        ``BAD_REQUEST`` with the name of the hint if a hint is unknown,
+        invalid or given twice with different values.
 
     Examples
     --------
@@ -68,74 +68,76 @@
     found: dict[str, object] = {}
     comment = None
     if "chivescale" in sql:
-        comment = _COMMENT.match(sql)
+        comment = _HINT_COMMENT.match(sql)
     if comment is not None:
-        failure = _read_comment(comment[1], found)
+        failure = _parse_comment(comment[1], found)
         if failure is not None:
             return failure
     for name, value in (attrs or {}).items():
         name = str(name).lower()
         if name.startswith(_PREFIX):
-            failure = _add(found, name.removeprefix(_PREFIX), value)
+            failure = _add_hint(found, name.removeprefix(_PREFIX), value)
             if failure is not None:
                 return failure
-    return Hints(**found) if found else _NONE
+    return Hints(**found) if found else _NO_HINTS
 
 
-def _read_comment(text: str, found: dict) -> Failure | None:
-    place = 0
+def _parse_comment(text: str, found: dict) -> Failure | None:
+    offset = 0
     text = text.strip()
-    while place < len(text):
-        match = _PAIR.match(text, place)
+    while offset < len(text):
+        match = _HINT_PAIR.match(text, offset)
         if match is None:
-            return _refused(
-                f"chivescale comment has an error at column {place}"
+            return _bad_request(
+                f"chivescale comment has a syntax error at column {offset}"
             )
         value = match[2] if match[2] is not None else match[3]
-        failure = _add(found, match[1], value)
+        failure = _add_hint(found, match[1], value)
         if failure is not None:
             return failure
-        place = match.end()
+        offset = match.end()
     return None
 
 
-def _add(found: dict, name: str, value: object) -> Failure | None:
-    checked = _check(name, value)
+def _add_hint(found: dict, name: str, value: object) -> Failure | None:
+    checked = _validate(name, value)
     if isinstance(checked, Failure):
         return checked
     if found.setdefault(name, checked) != checked:
-        return _refused(f"chivescale_{name} is given twice with two values")
+        return _bad_request(
+            f"chivescale_{name} is given twice with different values"
+        )
     return None
 
 
-def _check(name: str, value: object) -> object:
+def _validate(name: str, value: object) -> object:
     if isinstance(value, bytes):
         value = value.decode("utf-8", "replace")
-    if name in _LIMITS:
-        return _number(name, value)
+    if name in _NUMBER_RANGES:
+        return _validate_number(name, value)
     if name == "key":
         if isinstance(value, str) and _KEY.fullmatch(value):
             return value
-        return _refused(
+        return _bad_request(
             "chivescale_key must be 1 to 128 printable ASCII characters "
             "without spaces"
         )
     if name == "token":
         if isinstance(value, str) and value:
             return value
-        return _refused("chivescale_token must be text")
-    return _refused(f"chivescale_{name} is unknown")
+        return _bad_request("chivescale_token must be a non-empty string")
+    return _bad_request(f"chivescale_{name} is unknown")
 
 
-def _number(name: str, value: object) -> int | Failure:
-    low, high = _LIMITS[name]
+def _validate_number(name: str, value: object) -> int | Failure:
+    low, high = _NUMBER_RANGES[name]
     text = str(value).strip()
     if isinstance(value, bool) or not _NUMBER.fullmatch(text):
-        return _refused(f"chivescale_{name} must be a whole number")
+        return _bad_request(f"chivescale_{name} must be an integer")
     if not low <= int(text) <= high:
-        return _refused(f"chivescale_{name} must be {low} to {high}")
+        return _bad_request(f"chivescale_{name} must be {low} to {high}")
     return int(text)
 
 
-def _refused(reason: str) -> Failure:
+def _bad_request(reason: str) -> Failure:
     return Failure(ErrorKind.BAD_REQUEST, reason)
--- a/chivescale/routing/_local.py
+++ b/chivescale/routing/_local.py
@@ -1,4 +1,4 @@
-"""Statements that the proxy answers itself."""
+"""Statements that the proxy answers without an endpoint."""
 
 import functools
 import re
@@ -9,8 +9,8 @@
 from chivescale.routing._text import remove_comments
 
 SERVER_VERSION = "8.0.36-chivescale"
-# Values that drivers ask for on connecting. They describe what the proxy
-# offers, which is the same on every endpoint.
+# System variables that drivers read when they connect. The values describe
+# the proxy and do not depend on the endpoint.
 VARIABLES: dict[str, str | int] = {
     "auto_increment_increment": 1,
     "character_set_client": "utf8mb4",
@@ -59,26 +59,27 @@
     "last_insert_id": "last_insert_id",
     "row_count": "row_count",
 }
-_ITEM = re.compile(
+_COLUMN = re.compile(
     r"\s*(?P<text>@@(?:(?:session|local|global)\.)?(?P<variable>\w+)"
     r"|(?P<function>\w+)\s*\(\s*\)|@(?P<token>chivescale_token))"
     r"(?:\s+(?:as\s+)?(?P<alias>`[^`]+`|'[^']+'|(?!limit\b)[a-z_]\w*))?\s*"
     r"(?P<end>,|(?:limit\s+\d+\s*)?;?\s*$)",
     re.IGNORECASE,
 )
-_START = re.compile(r"\s*select\s+", re.IGNORECASE)
+_SELECT = re.compile(r"\s*select\s+", re.IGNORECASE)
 _SHOW = re.compile(r"\s*show\s+(count\b|warnings|errors)", re.IGNORECASE)
 
 
 class SessionFacts(msgspec.Struct, frozen=True):
-    """What the proxy knows about a caller's connection.
+    """State of a caller's connection.
 
     Attributes
     ----------
     token : str
         Text of the current session token; empty if there is none yet.
     row_count, last_insert_id : int
-        Of the caller's last statement.
+        Number of affected rows and last insert id of the previous
+        statement.
     """
 
     workspace: str = ""
@@ -91,19 +92,19 @@
 
 
 class LocalAnswer(msgspec.Struct, frozen=True):
-    """Columns and rows; no columns means a plain OK."""
+    """Result of a local statement; without columns it is a plain OK."""
 
     columns: tuple[str, ...] = ()
     rows: tuple[tuple, ...] = ()
 
 
 def is_local_select(sql: str) -> bool:
-    """Tell whether every column of a SELECT has a local answer."""
-    return _items(sql[:4096]) is not None
+    """Return whether a statement is a SELECT of local values only."""
+    return _parse_columns(sql[:4096]) is not None
 
 
 def local_answer(sql: str, facts: SessionFacts) -> LocalAnswer | Failure:
-    """Return the answer to a statement of class LOCAL.
+    """Return the result of a statement of class ``LOCAL``.
 
     Parameters
     ----------
@@ -115,17 +116,17 @@
     Returns
     -------
     LocalAnswer or Failure
-        ``UNSUPPORTED`` if the statement has no local answer.
+        ``UNSUPPORTED`` if the statement needs an endpoint.
 
     Examples
     --------
     >>> local_answer("SELECT @@autocommit", SessionFacts(autocommit=False))
     LocalAnswer(columns=('@@autocommit',), rows=((0,),))
     """
-    items = _items(sql)
+    items = _parse_columns(sql)
     if items is not None:
         names = tuple(name for name, _, _ in items)
-        row = tuple(_value(kind, key, facts) for _, kind, key in items)
+        row = tuple(_column_value(kind, key, facts) for _, kind, key in items)
         return LocalAnswer(names, (row,))
     show = _SHOW.match(sql)
     if show is not None:
@@ -135,33 +136,35 @@
     words = remove_comments(sql).split()
     if not words or words[0].lower() == "set":
         return LocalAnswer()
-    return Failure(ErrorKind.UNSUPPORTED, "statement has no local answer")
+    return Failure(
+        ErrorKind.UNSUPPORTED, "statement cannot be answered by the proxy"
+    )
 
 
 @functools.lru_cache(maxsize=512)
-def _items(sql: str) -> tuple[tuple[str, str, str], ...] | None:
-    """Return (column, kind, key) of each column, or None if not local."""
+def _parse_columns(sql: str) -> tuple[tuple[str, str, str], ...] | None:
+    """Return (name, kind, key) of each column, or None if not local."""
     if "/*" in sql or "--" in sql or "#" in sql:
         sql = remove_comments(sql)
-    start = _START.match(sql)
+    start = _SELECT.match(sql)
     if start is None:
         return None
     found = []
-    place = start.end()
+    offset = start.end()
     while True:
-        match = _ITEM.match(sql, place)
+        match = _COLUMN.match(sql, offset)
         if match is None:
             return None
-        item = _item(match)
+        item = _resolve_column(match)
         if item is None:
             return None
         found.append(item)
-        place = match.end()
+        offset = match.end()
         if match["end"] != ",":
             return tuple(found)
 
 
-def _item(match: re.Match) -> tuple[str, str, str] | None:
+def _resolve_column(match: re.Match) -> tuple[str, str, str] | None:
     name = (match["alias"] or match["text"]).strip("`'")
     if match["variable"]:
         key = match["variable"].lower()
@@ -169,11 +172,11 @@
         return (name, "variable", key) if known else None
     if match["function"]:
         key = _FUNCTIONS.get(match["function"].lower())
-        return (name, "fact", key) if key else None
-    return (name, "fact", "token")
+        return (name, "session", key) if key else None
+    return (name, "session", "token")
 
 
-def _value(kind: str, key: str, facts: SessionFacts) -> object:
+def _column_value(kind: str, key: str, facts: SessionFacts) -> object:
     if key == "autocommit":
         return int(facts.autocommit)
     if kind == "variable":
--- a/chivescale/routing/_set.py
+++ b/chivescale/routing/_set.py
@@ -1,4 +1,4 @@
-"""SET statements."""
+"""Parsing and classification of SET statements."""
 
 import re
 
@@ -12,9 +12,9 @@
     "chivescale_deadline_ms",
     "chivescale_token",
 )
-# Variables that drivers set on connecting and that change no result, given
-# that all connections use UTF-8.
-_HARMLESS = frozenset(
+# Variables that drivers set when they connect. They do not affect results,
+# since all connections use UTF-8.
+_IGNORED_VARIABLES = frozenset(
     """
     character_set_client character_set_connection character_set_results
     collation_connection net_write_timeout net_read_timeout wait_timeout
@@ -23,7 +23,7 @@
     sql_quote_show_create
     """.split()
 )
-_UTF8 = frozenset("utf8 utf8mb3 utf8mb4 default null".split())
+_UTF8_NAMES = frozenset("utf8 utf8mb3 utf8mb4 default null".split())
 _STRING = r"""'(?:[^'\\]|\\.|'')*'|"(?:[^"\\]|\\.|"")*\""""
 _ASSIGNMENT = re.compile(
     rf"""\s*(?P<name>
@@ -39,21 +39,22 @@
 _SCOPE = re.compile(
     r"^(?:@@)?(?:session|local)[\s.]+|^@@(?!global|persist)", re.IGNORECASE
 )
-_NAMES = frozenset({"names", "character set", "charset"})
+_CHARACTER_SET_NAMES = frozenset({"names", "character set", "charset"})
 _ESCAPE = re.compile(r"\\(.)|''|\"\"", re.DOTALL)
 
 
 def parse_set(sql: str) -> tuple[tuple[str, str | None], ...] | Failure:
-    """Return the assignments of a SET statement.
+    """Parse the assignments of a SET statement.
 
-    Names are in lower case without scope; user variables keep their ``@``,
-    and global ones their ``global.``. Values are text without quotes; NULL
-    and DEFAULT are None.
+    Names are converted to lower case without their scope, except that user
+    variables keep ``@`` and global variables ``global.``. Values are text
+    without quotes, or None for NULL and DEFAULT.
 
     Returns
     -------
     tuple of (str, str or None) or Failure
-        ``BAD_REQUEST`` if the text is not understood.
+        (name, value) of each assignment; ``BAD_REQUEST`` if the statement
+        cannot be parsed.
 
     Examples
     --------
@@ -62,37 +63,39 @@
     """
     text = remove_comments(sql).strip().rstrip("; \t\r\n")
     if text[:3].lower() != "set" or len(text) < 5:
-        return _refused()
-    place = 3
+        return _parse_error()
+    offset = 3
     found = []
-    while place < len(text):
-        match = _ASSIGNMENT.match(text, place)
+    while offset < len(text):
+        match = _ASSIGNMENT.match(text, offset)
         if match is None:
-            return _refused()
-        name = _variable(match["name"])
-        if "=" not in match["equals"] and name not in _NAMES:
-            return _refused()
-        found.append((name, _value(match["value"])))
-        place = match.end()
+            return _parse_error()
+        name = _normalize_name(match["name"])
+        if "=" not in match["equals"] and name not in _CHARACTER_SET_NAMES:
+            return _parse_error()
+        found.append((name, _parse_value(match["value"])))
+        offset = match.end()
     if text.endswith(","):
-        return _refused()
+        return _parse_error()
     return tuple(found)
 
 
 def classify_set(sql: str) -> str:
-    """Return the class of a SET statement, a `StatementClass` value."""
+    """Return the `StatementClass` value of a SET statement."""
     assignments = parse_set(sql)
     if isinstance(assignments, Failure):
         return _classify_unparsed(sql)
-    kinds = {_kind(name, value) for name, value in assignments}
-    if "unsupported" in kinds:
+    classes = {
+        _classify_assignment(name, value) for name, value in assignments
+    }
+    if "unsupported" in classes:
         return "unsupported"
-    if kinds == {"local"}:
+    if classes == {"local"}:
         return "local"
-    kinds.discard("local")
-    # A mixture is not split, since a part could fail after another took
-    # effect.
-    return kinds.pop() if len(kinds) == 1 else "unsupported"
+    classes.discard("local")
+    # A statement with assignments of several classes is not split: one part
+    # could fail after another took effect.
+    return classes.pop() if len(classes) == 1 else "unsupported"
 
 
 def _classify_unparsed(sql: str) -> str:
@@ -102,12 +105,12 @@
     if words[0] in ("password", "role", "default", "resource"):
         return "unsupported"
     if "chivescale_" in sql.lower():
-        # Reported with the reason by `parse_set`.
+        # Handling this class calls `parse_set`, which reports the error.
         return "set_session"
     return "set_other"
 
 
-def _kind(name: str, value: str | None) -> str:
+def _classify_assignment(name: str, value: str | None) -> str:
     if name.startswith("@" + PREFIX):
         return "set_session"
     if name == "autocommit":
@@ -116,25 +119,25 @@
         return "unsupported"
     if name in ("password", "sql_log_bin", "pseudo_thread_id"):
         return "unsupported"
-    if name in _NAMES or name.startswith("character_set_"):
-        known = value is None or value.lower() in _UTF8
-        return "local" if known else "set_other"
-    return "local" if name in _HARMLESS else "set_other"
+    if name in _CHARACTER_SET_NAMES or name.startswith("character_set_"):
+        is_utf8 = value is None or value.lower() in _UTF8_NAMES
+        return "local" if is_utf8 else "set_other"
+    return "local" if name in _IGNORED_VARIABLES else "set_other"
 
 
-def _variable(text: str) -> str:
+def _normalize_name(text: str) -> str:
     name = " ".join(text.lower().replace("`", "").split())
     name = _SCOPE.sub("", name)
     match = re.match(r"(?:@@)?(global|persist|persist_only)[\s.]+(.*)", name)
     return f"{match[1]}.{match[2]}" if match else name
 
 
-def _value(text: str) -> str | None:
+def _parse_value(text: str) -> str | None:
     text = text.strip()
     if text[:1] in ("'", '"'):
         return _ESCAPE.sub(lambda m: m[1] or m[0][0], text[1:-1])
     return None if text.lower() in ("null", "default") else text
 
 
-def _refused() -> Failure:
-    return Failure(ErrorKind.BAD_REQUEST, "SET statement is not understood")
+def _parse_error() -> Failure:
+    return Failure(ErrorKind.BAD_REQUEST, "cannot parse SET statement")
--- a/chivescale/routing/_text.py
+++ b/chivescale/routing/_text.py
@@ -1,10 +1,10 @@
-"""Statement text without comments and string contents."""
+"""Removal of comments and string contents from SQL text."""
 
 import re
 
-# The alternatives are tried in order at each place: strings and quoted
-# names, executable comments (their content is code), other comments.
-_PIECE = re.compile(
+# Alternatives in order of precedence: strings and quoted identifiers, the
+# markers of executable comments (whose content is SQL), other comments.
+_LITERAL_OR_COMMENT = re.compile(
     r"""'(?:[^'\\]|\\.|'')*'|"(?:[^"\\]|\\.|"")*"|`(?:[^`]|``)*`"""
     r"""|/\*!\d*|/\*.*?\*/|\*/|--(?=\s|$)[^\n]*|\#[^\n]*""",
     re.DOTALL,
@@ -17,24 +17,24 @@
 _NEEDS_SCAN = re.compile(r"""['"`#]|/\*|--""")
 
 
-def skeleton(sql: str) -> str:
+def normalize(sql: str) -> str:
     """Return `sql` in upper case without comments and string contents.
 
-    A string becomes ``''``, a quoted name becomes ``NAME``, and the content
-    of ``/*! */`` stays, because the server executes it.
+    Strings are replaced by ``''`` and quoted identifiers by ``NAME``. The
+    content of ``/*! */`` is kept, because the server executes it.
 
     Examples
     --------
-    >>> skeleton("/* x */ select 'a;b', `c` /*!40001 sql_no_cache */")
+    >>> normalize("/* x */ select 'a;b', `c` /*!40001 sql_no_cache */")
     "SELECT '', NAME   SQL_NO_CACHE"
     """
     if _NEEDS_SCAN.search(sql) is not None:
-        sql = _PIECE.sub(_replace, sql)
+        sql = _LITERAL_OR_COMMENT.sub(_replacement, sql)
     return sql.strip().rstrip("; \t\r\n").upper()
 
 
 def remove_comments(sql: str) -> str:
-    """Return `sql` without comments; the content of `/*! */` stays.
+    """Return `sql` without comments; the content of ``/*! */`` is kept.
 
     Examples
     --------
@@ -46,7 +46,7 @@
     return _STRING_OR_COMMENT.sub(lambda match: match["kept"] or " ", sql)
 
 
-def _replace(match: re.Match) -> str:
+def _replacement(match: re.Match) -> str:
     text = match[0]
     if text[0] in "'\"":
         return "''"
--- a/chivescale/routing/_transaction.py
+++ b/chivescale/routing/_transaction.py
@@ -1,12 +1,12 @@
-"""Modes of statements that begin or end a transaction."""
+"""Parsing of statements that control transactions."""
 
 import msgspec
 
-from chivescale.routing._text import skeleton
+from chivescale.routing._text import normalize
 
-# Statements that leave an open transaction open. Any other one may commit
-# it, as statements that change the schema do.
-_KEEPS_OPEN = frozenset(
+# Statements that never commit an open transaction. Any other statement may
+# commit it, as DDL statements do implicitly.
+_NON_COMMITTING_KEYWORDS = frozenset(
     "SELECT INSERT UPDATE DELETE REPLACE WITH VALUES TABLE SAVEPOINT RELEASE"
     " ROLLBACK SHOW EXPLAIN DESCRIBE DESC".split()
 )
@@ -18,9 +18,10 @@
     Attributes
     ----------
     read_only : bool
-        START TRANSACTION READ ONLY.
+        Whether READ ONLY is given.
     chain : bool
-        AND CHAIN: the next transaction begins at once.
+        Whether AND CHAIN is given, so that a new transaction begins
+        immediately.
     """
 
     read_only: bool = False
@@ -37,7 +38,7 @@
     >>> transaction_modes("COMMIT AND NO CHAIN").chain
     False
     """
-    words = skeleton(sql).replace(",", " ").split()
+    words = normalize(sql).replace(",", " ").split()
     text = f" {' '.join(words)} "
     return TransactionModes(
         read_only=" READ ONLY " in text,
@@ -46,7 +47,7 @@
 
 
 def may_commit(sql: str) -> bool:
-    """Tell whether a statement may commit the open transaction.
+    """Return whether a statement may commit the open transaction.
 
     Examples
     --------
@@ -55,5 +56,5 @@
     >>> may_commit("/* x */ CREATE TABLE t (id INT)")
     True
     """
-    words = skeleton(sql).lstrip("( ").split(maxsplit=1)
-    return not words or words[0] not in _KEEPS_OPEN
+    words = normalize(sql).lstrip("( ").split(maxsplit=1)
+    return not words or words[0] not in _NON_COMMITTING_KEYWORDS
--- a/chivescale/routing/tests/routing.feature
+++ b/chivescale/routing/tests/routing.feature
@@ -1,8 +1,9 @@
 Feature: Routing
-  Guards against writes and locking reads on replicas, session state on shared
-  connections, and reads on endpoints that are too old or leaving.
+  Guards against writes and locking reads on replicas, against session state
+  that leaks through shared connections, and against reads on endpoints that
+  are leaving or whose data is too old.
 
-  Scenario Outline: Class of a statement
+  Scenario Outline: Classes of statements
     Then these statements are of class <class>: <statements>
 
     Examples:
@@ -26,10 +27,10 @@
       | unsupported | SELECT 1; DELETE FROM t ~ CALL f() ~ XA START 'a' ~ LOCK TABLES t WRITE ~ UNLOCK TABLES ~ CREATE TEMPORARY TABLE t (a int) ~ drop temporary table t ~ SET GLOBAL a = 1 ~ SET @@global.a = 1 ~ SET PERSIST a = 1 |
       | unsupported | PREPARE a FROM 'SELECT 1' ~ LOAD DATA INFILE 'a' INTO TABLE t ~ KILL 5 ~ COMMIT RELEASE ~ SET PASSWORD = 'x' ~ STOP REPLICA ~ SET autocommit = 0, @chivescale_key = 'a' ~ BEGIN NOT ATOMIC ~ /*!50000 CALL f() */ ~ HANDLER t OPEN ~ SET @@persist.a = 1 ~ SET sql_log_bin = 0 ~ /*!40101 SET GLOBAL a = 1 */ |
 
-  Scenario: Classes of long and repeated texts are found within bounds
-    Then 10000 different statements leave a bounded cache
+  Scenario: The cache of statement classes is bounded
+    Then classifying 10000 different statements does not exceed the cache size
 
-  Scenario Outline: Modes of transactions
+  Scenario Outline: Transaction modes
     Then <statement> has read_only <read_only> and chain <chain>
 
     Examples:
@@ -41,7 +42,7 @@
       | ROLLBACK AND NO CHAIN         | no        | no    |
 
   Scenario Outline: Hints
-    When hints are read from "<sql>" with attributes <attrs>
+    When hints are parsed from "<sql>" with attributes <attrs>
     Then the hints are <hints>
 
     Examples:
@@ -58,7 +59,7 @@
       | SELECT 1                                            | {"chivescale_stale": 1}       | chivescale_stale is unknown          |
       | /* chivescale staleness_ms 5 */ SELECT 1            | {}                            | chivescale comment                   |
 
-  Scenario Outline: Local answers
+  Scenario Outline: Statements that the proxy answers
     Then the local answer to <sql> is <columns> with <row>
 
     Examples:
@@ -71,9 +72,9 @@
       | SET NAMES utf8mb4                  | nothing          | nothing    |
       | /*!40101 SET NAMES utf8 */         | nothing          | nothing    |
 
-  Scenario Outline: Choice of an endpoint
+  Scenario Outline: Endpoint selection
     When the endpoints are <endpoints>
-    Then a <need> goes to <choice>
+    Then a <need> is routed to <choice>
 
     Examples:
       | endpoints                                  | need          | choice             |
@@ -92,10 +93,10 @@
       | p:primary,suspect r1:suspect               | read          | p r1               |
       | p:primary,leaving r1:behind r2:promise     | read          | freshness_unproved |
       | p:primary,promise r1:behind                | read          | freshness_unproved |
-      | p:primary,age=9 r1:age=0.2 r2:age=0.6      | aged read     | r1                 |
-      | p:primary,age=0.1 r1:age=0.6 r2            | aged read     | p                  |
-      | p:primary,age=9 r1:age=0.6 r2              | aged read     | freshness_unproved |
-      | p:primary r1:age=0.2,behind r2:age=0.2     | aged read     | r2                 |
+      | p:primary,age=9 r1:age=0.2 r2:age=0.6      | stale read    | r1                 |
+      | p:primary,age=0.1 r1:age=0.6 r2            | stale read    | p                  |
+      | p:primary,age=9 r1:age=0.6 r2              | stale read    | freshness_unproved |
+      | p:primary r1:age=0.2,behind r2:age=0.2     | stale read    | r2                 |
 
-  Scenario: Load is spread by use and latency
-    Then of 1000 reads a replica in half use gets more than a full one
+  Scenario: Reads are distributed by load
+    Then of 1000 reads a less loaded replica gets more than a more loaded one
--- a/chivescale/routing/tests/steps/routing_steps.py
+++ b/chivescale/routing/tests/steps/routing_steps.py
@@ -1,4 +1,4 @@
-"""Steps for routing."""
+"""Steps for routing.feature."""
 
 import collections
 import json
@@ -18,9 +18,9 @@
     parse_hints,
     transaction_modes,
 )
-from chivescale.routing._classify import CACHE_ENTRIES, _cached
+from chivescale.routing._classify import CACHE_ENTRIES, _classify_cached
 
-OPTIONS = {
+CANDIDATE_OPTIONS = {
     "primary": {"primary": True},
     "leaving": {"leaving": True},
     "far": {"zone": "z2"},
@@ -33,40 +33,42 @@
 NEEDS = {
     "write": Need(write=True, zone="z1"),
     "read": Need(zone="z1", position=Position(2, 5)),
-    "aged read": Need(zone="z1", position=Position(2, 5), max_age_s=0.5),
+    "stale read": Need(zone="z1", position=Position(2, 5), max_age_s=0.5),
 }
 
 
 @then("these statements are of class {name}: {statements}")
-def class_is(context, name, statements):
+def check_class(context, name, statements):
     for sql in statements.replace("\\n", "\n").split(" ~ "):
         for text in (sql, f"  /* x */ {sql} ", f"{sql} -- end"):
             assert classify(text).value == name, (text, classify(text))
 
 
-@then("{count:d} different statements leave a bounded cache")
-def bounded_cache(context, count):
+@then(
+    "classifying {count:d} different statements does not exceed the cache size"
+)
+def check_cache_size(context, count):
     for number in range(count):
         classify(f"SELECT a FROM t WHERE b = {number}")
-    before = _cached.cache_info().currsize
+    before = _classify_cached.cache_info().currsize
     assert classify("SELECT 1 -- " + "x" * 5000).value == "read"
-    assert _cached.cache_info().currsize == before == CACHE_ENTRIES
+    assert _classify_cached.cache_info().currsize == before == CACHE_ENTRIES
 
 
 @then("{statement} has read_only {read_only} and chain {chain}")
-def modes_are(context, statement, read_only, chain):
+def check_modes(context, statement, read_only, chain):
     modes = transaction_modes(statement)
     assert modes.read_only == (read_only == "yes")
     assert modes.chain == (chain == "yes")
 
 
-@when('hints are read from "{sql}" with attributes {attrs}')
-def read_hints(context, sql, attrs):
+@when('hints are parsed from "{sql}" with attributes {attrs}')
+def parse_hint_text(context, sql, attrs):
     context.hints = parse_hints(sql, json.loads(attrs))
 
 
 @then("the hints are {hints}")
-def hints_are(context, hints):
+def check_hints(context, hints):
     if is_failure(context.hints):
         assert context.hints.kind.value == "bad_request"
         assert hints in context.hints.reason, context.hints
@@ -78,7 +80,7 @@
 
 
 @then("the local answer to {sql} is {columns} with {row}")
-def local_is(context, sql, columns, row):
+def check_local_answer(context, sql, columns, row):
     facts = SessionFacts("w", "ledger", 9, False, "c1.x", 77)
     assert classify(sql).value == "local"
     answer = local_answer(sql, facts)
@@ -88,7 +90,7 @@
 
 
 @when("the endpoints are {endpoints}")
-def endpoints_are(context, endpoints):
+def set_endpoints(context, endpoints):
     context.candidates = []
     for part in endpoints.split():
         name, _, options = part.partition(":")
@@ -97,12 +99,12 @@
             if option.startswith("age="):
                 fields["proven_age_s"] = float(option[4:])
             else:
-                fields |= OPTIONS[option]
+                fields |= CANDIDATE_OPTIONS[option]
         context.candidates.append(Candidate(name, **fields))
 
 
-@then("a {need} goes to {choice}")
-def goes_to(context, need, choice):
+@then("a {need} is routed to {choice}")
+def check_choice(context, need, choice):
     found = set()
     for seed in range(40):
         rng = random.Random(seed)
@@ -111,12 +113,12 @@
     assert found == set(choice.split()), found
 
 
-@then("of 1000 reads a replica in half use gets more than a full one")
-def spread(context):
+@then("of 1000 reads a less loaded replica gets more than a more loaded one")
+def check_distribution(context):
     rng = random.Random(1)
     replicas = [
-        Candidate(f"r{used}", "z1", in_use=used, limit=9, latency_s=0.01)
-        for used in (0, 4, 8)
+        Candidate(f"r{load}", "z1", in_use=load, limit=9, latency_s=0.01)
+        for load in (0, 4, 8)
     ]
     found = collections.Counter(
         choose_endpoint(replicas, NEEDS["read"], rng) for _ in range(1000)
