--- a/chivescale/session/__init__.py
+++ b/chivescale/session/__init__.py
@@ -1,7 +1,7 @@
-"""Session consistency: tokens, barriers, confirmations and freshness.
+"""Session consistency: tokens, barriers, write confirmation and freshness.
 
-Everything here is pure: no sockets, clocks, files or asyncio. Times are
-monotonic seconds passed in by the caller.
+The code in this package performs no I/O and reads no clock: it uses neither
+sockets, files nor asyncio. Callers pass the time in as monotonic seconds.
 """
 
 from chivescale.messages import Position
--- a/chivescale/session/_barrier_events.py
+++ b/chivescale/session/_barrier_events.py
@@ -1,4 +1,4 @@
-"""Events and effects of `Barriers`."""
+"""Events and effects of the `Barriers` state machine."""
 
 import msgspec
 
@@ -7,14 +7,14 @@
 
 
 class Join(msgspec.Struct, frozen=True):
-    """A read arrived that needs a barrier."""
+    """Event: a read that needs a barrier arrived."""
 
     read_id: int
     deadline: float
 
 
 class StatusReceived(msgspec.Struct, frozen=True):
-    """An endpoint answered the question of a round."""
+    """Event: an endpoint returned its status for a round."""
 
     round: int
     endpoint: str
@@ -22,14 +22,14 @@
 
 
 class StatusFailed(msgspec.Struct, frozen=True):
-    """An endpoint cannot be asked in a round."""
+    """Event: an endpoint did not return its status for a round."""
 
     round: int
     endpoint: str
 
 
 class TermChanged(msgspec.Struct, frozen=True):
-    """An established term was published; lower terms are ignored."""
+    """Event: an established term was published; lower terms are ignored."""
 
     voters: tuple[str, ...]
     incarnations: tuple[str, ...]
@@ -38,18 +38,20 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Time passed; needed at `wake_at` of a state machine."""
+    """Event: time passed; due at `wake_at` of the state machine."""
 
 
 class StartRound(msgspec.Struct, frozen=True):
-    """Ask `endpoints` for their status, without a long poll.
+    """Effect: request the status of `endpoints`, without a long poll.
 
-    Emitted again with the same `round` when more endpoints join it.
+    Emitted again with the same `round` when the round is extended by more
+    endpoints.
 
     Attributes
     ----------
     fresh : bool
-        Whether to use new connections, since open ones may hang.
+        Whether to use new connections, because existing ones may have
+        stopped responding.
     """
 
     round: int
@@ -58,22 +60,24 @@
 
 
 class BarrierReady(msgspec.Struct, frozen=True):
-    """Reads may run at or above `position`.
+    """Effect: reads may run on endpoints at or above `position`.
 
     Attributes
     ----------
     read_ids : tuple of int
         Reads that arrived before the round was sent.
     sent_at : float
-        When the round was sent, in monotonic seconds: the sample time for
-        `Freshness`.
+        When the round was sent, in monotonic seconds; the time of the
+        sample for `Freshness`.
     promised_term : int
-        Highest promised term of the answers; the read must not run on an
-        endpoint that promised less.
+        Highest promised term among the answers. The reads must not run on
+        an endpoint with a lower promised term.
+    position : Position
+        Highest position among the answers.
     holders : tuple of str
-        Endpoints whose answer is at or above `position` and that promised
-        `promised_term`. It holds for the voter's incarnation only: a read
-        must not run on a connection to a later one.
+        Endpoints that answered with at least `position` and
+        `promised_term`. This is proven only for the incarnation of the
+        voter: a read must not run on a connection to a later incarnation.
     """
 
     read_ids: tuple[int, ...]
@@ -84,7 +88,7 @@
 
 
 class BarrierFailed(msgspec.Struct, frozen=True):
-    """No barrier for these reads: NO_QUORUM or FRESHNESS_UNPROVED."""
+    """Effect: these reads fail, with NO_QUORUM or FRESHNESS_UNPROVED."""
 
     read_ids: tuple[int, ...]
     failure: Failure
--- a/chivescale/session/_barriers.py
+++ b/chivescale/session/_barriers.py
@@ -1,4 +1,4 @@
-"""Barriers: the position that a read without a token has to include."""
+"""Barriers: the position that a read without a token must include."""
 
 import msgspec
 
@@ -15,46 +15,48 @@
 )
 from chivescale.session._quorum import quorum_of
 
-# The primary is asked only if the replicas have not formed a quorum by then,
-# which keeps barrier load off it. Several round trips between zones.
-PRIMARY_AFTER_S = 0.02
-# A second round on fresh connections starts when the first hangs this long:
-# an open connection may have stopped responding while new ones work.
-HANG_S = 0.1
+# The primary is contacted only if the replicas do not form a quorum within
+# this time, to keep the load of barriers off it. Several round trips between
+# availability zones fit into it.
+PRIMARY_DELAY_S = 0.02
+# A second round on new connections is started after this time: an existing
+# connection may have stopped responding while new ones work.
+STALL_TIMEOUT_S = 0.1
 ROUND_TIMEOUT_S = 0.5
 MAX_ROUNDS = 2
 
 
 class _Round(msgspec.Struct):
     sent_at: float
-    reads: set[int]
-    asked: set[str]
+    read_ids: set[int]
+    contacted: set[str]
     answers: dict[str, EndpointStatus] = {}
     failed: set[str] = set()
     fresh: bool = False
 
 
 class Barriers:
-    """Shared barrier rounds of one service.
+    """State machine for the barrier rounds of one service.
 
-    Reads that wait when a round starts share it. A read never uses a round
-    sent before it arrived, because a write confirmed in between could be
-    above that round's answers.
+    All reads that are pending when a round starts share it. A read never uses
+    a round sent before it arrived, because a write confirmed in between could
+    be above the answers of that round.
 
     Parameters
     ----------
     term : TermChanged, optional
-        Term in force at the start.
-    round_timeout_s, primary_after_s, hang_s : float, optional
-        Bounds of one round, in seconds.
+        Initial term.
+    round_timeout_s, primary_delay_s, stall_timeout_s : float, optional
+        Time limits of a round, in seconds.
 
     Notes
     -----
-    The answers must come from a quorum of the voters of the term in force.
-    A host may not know yet that a newer term with other voters is
-    established. The first entry of that term is then on a quorum of the
-    voters known here, so some answer has a higher last term; such a round
-    proves nothing and the reads wait until the newer term is published.
+    The answers must come from a quorum of the voters of the current term.
+    This host may not know yet that a newer term with other voters has been
+    established. In that case the first entry of the newer term is on a quorum
+    of the voters known here, so at least one answer has a higher last term.
+    Such a round proves nothing, and its reads wait until the newer term is
+    published.
     """
 
     def __init__(
@@ -62,50 +64,50 @@
         term: TermChanged | None = None,
         *,
         round_timeout_s: float = ROUND_TIMEOUT_S,
-        primary_after_s: float = PRIMARY_AFTER_S,
-        hang_s: float = HANG_S,
+        primary_delay_s: float = PRIMARY_DELAY_S,
+        stall_timeout_s: float = STALL_TIMEOUT_S,
     ):
         self.round_timeout_s = round_timeout_s
-        self.primary_after_s = primary_after_s
-        self.hang_s = hang_s
+        self.primary_delay_s = primary_delay_s
+        self.stall_timeout_s = stall_timeout_s
         self.term = term or TermChanged((), (), "", 0)
         self.deadlines: dict[int, float] = {}
-        self.waiting: list[int] = []
+        self.pending_reads: list[int] = []
         self.rounds: dict[int, _Round] = {}
         self.last_round = 0
-        # Endpoints that missed their last round; with too few others the
-        # primary is asked at once.
-        self.slow: set[str] = set()
-        # A term seen in answers that is not published here yet, and when to
-        # ask again in case it was never established.
-        self.unknown_term = 0
-        self.hold_until = 0.0
+        # Endpoints that did not answer their last round in time. If too few
+        # other replicas remain, the primary is contacted immediately.
+        self.slow_endpoints: set[str] = set()
+        # Term seen in answers that is not published on this host yet, and
+        # when to start another round in case it was never established.
+        self.unpublished_term = 0
+        self.next_round_at = 0.0
 
     @property
     def wake_at(self) -> float | None:
-        """When the next `Tick` is due, in monotonic seconds."""
+        """Time of the next `Tick` in monotonic seconds; None if not needed."""
         times = list(self.deadlines.values())
-        if self.waiting and self.unknown_term:
-            times.append(self.hold_until)
+        if self.pending_reads and self.unpublished_term:
+            times.append(self.next_round_at)
         for round_ in self.rounds.values():
             times.append(round_.sent_at + self.round_timeout_s)
-            if self._primary_unasked(round_):
-                times.append(round_.sent_at + self.primary_after_s)
+            if self._primary_not_contacted(round_):
+                times.append(round_.sent_at + self.primary_delay_s)
         if len(self.rounds) == 1:
             (only,) = self.rounds.values()
-            if self.waiting or not only.fresh:
-                times.append(only.sent_at + self.hang_s)
+            if self.pending_reads or not only.fresh:
+                times.append(only.sent_at + self.stall_timeout_s)
         return min(times, default=None)
 
     def step(self, event, now: float) -> list:
-        """Apply one event and return the effects to execute.
+        """Process an event and return the effects to execute.
 
         Parameters
         ----------
         event : Join, StatusReceived, StatusFailed, TermChanged or Tick
-            What happened.
+            Event to process.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
 
         Returns
         -------
@@ -115,36 +117,36 @@
         match event:
             case Join():
                 self.deadlines[event.read_id] = event.deadline
-                self.waiting.append(event.read_id)
+                self.pending_reads.append(event.read_id)
             case StatusReceived():
-                self._answer(event)
+                self._handle_status(event)
             case StatusFailed():
-                self._fail(event)
+                self._handle_failure(event)
             case TermChanged():
                 self._change_term(event)
-        self._expire(now, effects)
+        self._expire_reads(now, effects)
         for number in list(self.rounds):
-            self._evaluate(number, now, effects)
-        self._start(now, effects)
+            self._evaluate_round(number, now, effects)
+        self._start_round(now, effects)
         return effects
 
-    def _answer(self, event: StatusReceived) -> None:
+    def _handle_status(self, event: StatusReceived) -> None:
         round_ = self.rounds.get(event.round)
-        counts = self._counts(event.endpoint, event.status)
-        if counts:
-            # Also with a late answer: otherwise a replica that answers just
-            # after the primary would count as slow for good, and barriers
-            # with the primary are ahead of the replicas.
-            self.slow.discard(event.endpoint)
+        is_voter = self._is_current_voter(event.endpoint, event.status)
+        if is_voter:
+            # A late answer counts as well: otherwise a replica that answers
+            # just after the primary would be considered slow forever, and
+            # barriers that include the primary are ahead of the replicas.
+            self.slow_endpoints.discard(event.endpoint)
         if round_ is None:
             return
-        if not counts:
+        if not is_voter:
             round_.failed.add(event.endpoint)
             return
         round_.failed.discard(event.endpoint)
         round_.answers[event.endpoint] = event.status
 
-    def _counts(self, endpoint: str, status: EndpointStatus) -> bool:
+    def _is_current_voter(self, endpoint: str, status: EndpointStatus) -> bool:
         # A voter that lost its data reports a new incarnation; its low
         # position must not count towards the quorum.
         members = zip(self.term.voters, self.term.incarnations, strict=True)
@@ -153,87 +155,90 @@
             and (endpoint, status.incarnation) in members
         )
 
-    def _fail(self, event: StatusFailed) -> None:
+    def _handle_failure(self, event: StatusFailed) -> None:
         round_ = self.rounds.get(event.round)
         if round_ is not None and event.endpoint not in round_.answers:
             round_.failed.add(event.endpoint)
-            self.slow.add(event.endpoint)
+            self.slow_endpoints.add(event.endpoint)
 
     def _change_term(self, event: TermChanged) -> None:
         if event.term <= self.term.term:
             return
         self.term = event
-        self.slow.clear()
-        if event.term >= self.unknown_term:
-            self.unknown_term = 0
+        self.slow_endpoints.clear()
+        if event.term >= self.unpublished_term:
+            self.unpublished_term = 0
         for round_ in self.rounds.values():
             self._requeue(round_)
         self.rounds.clear()
 
     def _requeue(self, round_: _Round) -> None:
-        known = set(self.waiting)
-        self.waiting += sorted(
+        already_pending = set(self.pending_reads)
+        self.pending_reads += sorted(
             read
-            for read in round_.reads
-            if read in self.deadlines and read not in known
+            for read in round_.read_ids
+            if read in self.deadlines and read not in already_pending
         )
 
-    def _expire(self, now: float, effects: list) -> None:
-        late = [read for read, at in self.deadlines.items() if at <= now]
-        if late:
-            self._finish(late)
-            failure = self._failure("before the deadline of the read")
-            effects.append(BarrierFailed(tuple(late), failure))
+    def _expire_reads(self, now: float, effects: list) -> None:
+        expired = [read for read, at in self.deadlines.items() if at <= now]
+        if expired:
+            self._remove_reads(expired)
+            failure = self._make_failure("before the deadline of the read")
+            effects.append(BarrierFailed(tuple(expired), failure))
 
-    def _failure(self, when: str) -> Failure:
-        if self.unknown_term:
+    def _make_failure(self, when: str) -> Failure:
+        if self.unpublished_term:
             return Failure(
                 ErrorKind.FRESHNESS_UNPROVED,
-                f"term {self.unknown_term} is not published here {when}",
+                f"term {self.unpublished_term} was not published on this host "
+                f"{when}",
             )
         return Failure(
             ErrorKind.NO_QUORUM,
             f"no quorum of {len(self.term.voters)} voters answered {when}",
         )
 
-    def _finish(self, reads) -> None:
+    def _remove_reads(self, reads) -> None:
         for read in reads:
             self.deadlines.pop(read, None)
-        self.waiting = [r for r in self.waiting if r in self.deadlines]
+        self.pending_reads = [
+            r for r in self.pending_reads if r in self.deadlines
+        ]
         for number, round_ in list(self.rounds.items()):
-            round_.reads.difference_update(reads)
-            if not round_.reads:
+            round_.read_ids.difference_update(reads)
+            if not round_.read_ids:
                 del self.rounds[number]
 
-    def _evaluate(self, number: int, now: float, effects: list) -> None:
+    def _evaluate_round(self, number: int, now: float, effects: list) -> None:
         round_ = self.rounds.get(number)
         if round_ is None:
             return
         voters = self.term.voters
         quorum = quorum_of(len(voters))
         if len(round_.answers) >= quorum:
-            self._conclude(number, round_, now, effects)
+            self._complete_round(number, round_, now, effects)
             return
-        possible = [name for name in voters if name not in round_.failed]
+        available = [name for name in voters if name not in round_.failed]
         timed_out = now >= round_.sent_at + self.round_timeout_s
-        if timed_out or len(possible) < quorum:
-            self._give_up(number, round_, effects)
+        if timed_out or len(available) < quorum:
+            self._fail_round(number, round_, effects)
             return
-        self._widen(number, round_, now, effects)
+        self._contact_primary(number, round_, now, effects)
 
-    def _conclude(self, number, round_, now, effects) -> None:
+    def _complete_round(self, number, round_, now, effects) -> None:
         answers = round_.answers
         position = max(status.last for status in answers.values())
         if position.term != self.term.term:
-            # Above: a term that is not published here. Below: impossible
-            # unless voters lost data, since the first entry of an
+            # A higher term is not published on this host yet. A lower term is
+            # possible only if voters lost data, since the first entry of an
             # established term is on a quorum. Neither proves anything.
-            self.unknown_term = max(position.term, self.term.term)
-            self.hold_until = now + self.hang_s
+            self.unpublished_term = max(position.term, self.term.term)
+            self.next_round_at = now + self.stall_timeout_s
             del self.rounds[number]
             self._requeue(round_)
             return
-        self.unknown_term = 0
+        self.unpublished_term = 0
         promised = max(status.promised_term for status in answers.values())
         holders = tuple(
             name
@@ -242,77 +247,79 @@
             and answers[name].last >= position
             and answers[name].promised_term >= promised
         )
-        reads = tuple(sorted(round_.reads))
-        if now >= round_.sent_at + self.primary_after_s:
-            self.slow |= round_.asked - set(answers) - {self.term.primary}
-        self._finish(reads)
+        reads = tuple(sorted(round_.read_ids))
+        if now >= round_.sent_at + self.primary_delay_s:
+            self.slow_endpoints |= (
+                round_.contacted - set(answers) - {self.term.primary}
+            )
+        self._remove_reads(reads)
         effects.append(
             BarrierReady(reads, round_.sent_at, promised, position, holders)
         )
 
-    def _give_up(self, number: int, round_: _Round, effects: list) -> None:
+    def _fail_round(self, number: int, round_: _Round, effects: list) -> None:
         del self.rounds[number]
-        self.slow |= round_.asked - set(round_.answers)
-        in_other = set()
+        self.slow_endpoints |= round_.contacted - set(round_.answers)
+        read_ids_of_others = set()
         for other in self.rounds.values():
-            in_other |= other.reads
-        reads = tuple(sorted(round_.reads - in_other))
+            read_ids_of_others |= other.read_ids
+        reads = tuple(sorted(round_.read_ids - read_ids_of_others))
         if reads:
-            self._finish(reads)
-            failure = self._failure("in time")
+            self._remove_reads(reads)
+            failure = self._make_failure("in time")
             effects.append(BarrierFailed(reads, failure))
 
-    def _widen(self, number, round_, now, effects) -> None:
-        if not self._primary_unasked(round_):
+    def _contact_primary(self, number, round_, now, effects) -> None:
+        if not self._primary_not_contacted(round_):
             return
         primary = self.term.primary
-        due = now >= round_.sent_at + self.primary_after_s
+        delay_passed = now >= round_.sent_at + self.primary_delay_s
         replicas = [
             name
-            for name in round_.asked
-            if name not in round_.failed and name not in self.slow
+            for name in round_.contacted
+            if name not in round_.failed and name not in self.slow_endpoints
         ]
-        if due or len(replicas) < quorum_of(len(self.term.voters)):
-            round_.asked.add(primary)
+        if delay_passed or len(replicas) < quorum_of(len(self.term.voters)):
+            round_.contacted.add(primary)
             effects.append(StartRound(number, (primary,)))
 
-    def _primary_unasked(self, round_: _Round) -> bool:
+    def _primary_not_contacted(self, round_: _Round) -> bool:
         primary = self.term.primary
-        return primary in self.term.voters and primary not in round_.asked
+        return primary in self.term.voters and primary not in round_.contacted
 
-    def _start(self, now: float, effects: list) -> None:
-        if self.unknown_term:
-            if now < self.hold_until:
+    def _start_round(self, now: float, effects: list) -> None:
+        if self.unpublished_term:
+            if now < self.next_round_at:
                 return
         elif not self.term.voters:
             return
-        hanging = self._hanging(now)
-        if self.rounds and not hanging:
+        stalled = self._stalled_rounds(now)
+        if self.rounds and not stalled:
             return
         if len(self.rounds) >= MAX_ROUNDS:
             return
-        reads = set(self.waiting)
-        for round_ in hanging:
-            # A round on fresh connections is not replaced again; its reads
-            # fail when it times out.
+        reads = set(self.pending_reads)
+        for round_ in stalled:
+            # A round that already uses new connections is not repeated; its
+            # reads fail when it times out.
             if not round_.fresh:
-                reads |= round_.reads
+                reads |= round_.read_ids
         if not reads:
             return
-        self.waiting = []
+        self.pending_reads = []
         self.last_round += 1
         number = self.last_round
         replicas = {v for v in self.term.voters if v != self.term.primary}
-        round_ = _Round(now, reads, replicas, fresh=bool(hanging))
+        round_ = _Round(now, reads, replicas, fresh=bool(stalled))
         self.rounds[number] = round_
-        asked = tuple(v for v in self.term.voters if v in replicas)
-        if asked:
-            effects.append(StartRound(number, asked, bool(hanging)))
-        self._widen(number, round_, now, effects)
+        contacted = tuple(v for v in self.term.voters if v in replicas)
+        if contacted:
+            effects.append(StartRound(number, contacted, bool(stalled)))
+        self._contact_primary(number, round_, now, effects)
 
-    def _hanging(self, now: float) -> list[_Round]:
+    def _stalled_rounds(self, now: float) -> list[_Round]:
         return [
             round_
             for round_ in self.rounds.values()
-            if now >= round_.sent_at + self.hang_s
+            if now >= round_.sent_at + self.stall_timeout_s
         ]
--- a/chivescale/session/_confirmations.py
+++ b/chivescale/session/_confirmations.py
@@ -1,4 +1,4 @@
-"""Confirmation of writes by a quorum of a database group."""
+"""Confirmation that a quorum of a database group holds a write."""
 
 import heapq
 
@@ -8,18 +8,18 @@
 from chivescale.session._barrier_events import Tick
 from chivescale.session._quorum import quorum_of
 
-# Pause before an endpoint is asked again after an answer without progress or
-# a failure, so that an endpoint that answers at once causes no busy loop.
-RETRY_PAUSE_S = 0.02
-# An ask without an answer for this long is given up; longer than any long
-# poll of the shell.
-ASK_TIMEOUT_S = 2.0
+# Delay before an endpoint is polled again after a failure or an answer without
+# progress, so that an endpoint that answers immediately causes no busy loop.
+RETRY_DELAY_S = 0.02
+# Timeout of a poll; must exceed the duration of any long poll that the caller
+# of this module executes.
+POLL_TIMEOUT_S = 2.0
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """A primary answered OK to a write at `position`.
+    """Event: a primary executed a write at `position`.
 
-    The term of `position` is the term whose voters have to hold it.
+    A quorum of the voters of the term of `position` has to hold it.
     """
 
     write_id: int
@@ -28,13 +28,13 @@
 
 
 class PositionReceived(msgspec.Struct, frozen=True):
-    """An endpoint reported its status.
+    """Event: an endpoint reported its status.
 
     Attributes
     ----------
     asked : bool
-        Whether it answers `AskPositions`; false for a status that became
-        known otherwise.
+        Whether it is the answer to `AskPositions`; false for a status that
+        was obtained in another way.
     """
 
     endpoint: str
@@ -43,127 +43,129 @@
 
 
 class AskFailed(msgspec.Struct, frozen=True):
-    """An endpoint of `AskPositions` did not answer."""
+    """Event: an endpoint of `AskPositions` did not answer."""
 
     endpoint: str
 
 
 class TermEstablished(msgspec.Struct, frozen=True):
-    """A term was published."""
+    """Event: an established term was published."""
 
     record: ServiceRecord
 
 
 class HistoryReceived(msgspec.Struct, frozen=True):
-    """Answer to `AskHistory`: a status with its term starts."""
+    """Event: answer to `AskHistory`, a status with its term starts."""
 
     endpoint: str
     status: EndpointStatus
 
 
 class HistoryFailed(msgspec.Struct, frozen=True):
-    """The endpoint of `AskHistory` did not answer."""
+    """Event: the endpoint of `AskHistory` did not answer."""
 
     endpoint: str
 
 
 class AskPositions(msgspec.Struct, frozen=True):
-    """Long-poll `endpoints` until they hold `position`."""
+    """Effect: long-poll `endpoints` until they hold `position`."""
 
     endpoints: tuple[str, ...]
     position: Position
 
 
 class AskHistory(msgspec.Struct, frozen=True):
-    """Ask the primary of established `term` which terms own its log."""
+    """Effect: request the term starts of the primary of established `term`."""
 
     endpoint: str
     term: int
 
 
 class Confirmed(msgspec.Struct, frozen=True):
-    """The write is on a quorum, or in the log of an established term."""
+    """Effect: the write is on a quorum or in an established term's log."""
 
     write_id: int
 
 
 class ProvedAbsent(msgspec.Struct, frozen=True):
-    """The write is not in the log of an established higher term."""
+    """Effect: the log of an established higher term lacks the write."""
 
     write_id: int
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """The deadline passed without proof."""
+    """Effect: the deadline passed before the outcome was proven."""
 
     write_id: int
 
 
-class _Term(msgspec.Struct):
-    # Highest position of this term that each endpoint was seen to hold. It
-    # stays valid when the endpoint later promises a higher term: an entry
-    # is only taken before such a promise, so the promise carries it.
-    held: dict[str, int] = {}
-    waits: list[tuple[int, int]] = []
+class _TermState(msgspec.Struct):
+    # Highest position of this term that each endpoint has reported. It stays
+    # valid when the endpoint promises a higher term later: entries are
+    # accepted only before such a promise, so the promise includes them.
+    positions: dict[str, int] = {}
+    # Heap of (position, write_id); may contain writes that are decided.
+    pending: list[tuple[int, int]] = []
     record: ServiceRecord | None = None
 
 
 class Confirmations:
-    """Waits of writes for a quorum, for one service.
+    """State machine that confirms the writes of one service.
 
     Parameters
     ----------
     record : ServiceRecord, optional
-        Established term in force at the start.
-    retry_pause_s, ask_timeout_s : float, optional
-        Pacing of questions, in seconds.
+        Initial established term.
+    retry_delay_s, poll_timeout_s : float, optional
+        Delay before an endpoint is polled again and timeout of a poll, in
+        seconds.
     """
 
     def __init__(
         self,
         record: ServiceRecord | None = None,
         *,
-        retry_pause_s: float = RETRY_PAUSE_S,
-        ask_timeout_s: float = ASK_TIMEOUT_S,
+        retry_delay_s: float = RETRY_DELAY_S,
+        poll_timeout_s: float = POLL_TIMEOUT_S,
     ):
-        self.retry_pause_s = retry_pause_s
-        self.ask_timeout_s = ask_timeout_s
+        self.retry_delay_s = retry_delay_s
+        self.poll_timeout_s = poll_timeout_s
         self.record = record
-        self.terms: dict[int, _Term] = {}
+        self.terms: dict[int, _TermState] = {}
         self.waits: dict[int, Wait] = {}
         self.deadlines: list[tuple[float, int]] = []
-        # When an endpoint may be asked again; while an ask is outstanding,
-        # when it is given up.
-        self.next_ask: dict[str, float] = {}
-        self.next_history = 0.0
+        # When each endpoint may be polled again; while a poll is in progress,
+        # the time at which it times out.
+        self.next_poll_at: dict[str, float] = {}
+        self.next_history_at = 0.0
         if record is not None:
-            self._term(record.term).record = record
+            self._term_state(record.term).record = record
 
     @property
     def wake_at(self) -> float | None:
-        """When the next `Tick` is due, in monotonic seconds."""
-        self._drop_finished()
+        """Time of the next `Tick` in monotonic seconds; None if not needed."""
+        self._drop_finished_deadlines()
         if not self.waits:
             return None
         times = [self.deadlines[0][0]]
-        if self._has_old_waits():
-            times.append(self.next_history)
+        if self._has_writes_of_older_terms():
+            times.append(self.next_history_at)
         if self.record is not None:
             for voter in self.record.voters:
-                if self._smallest_missing(voter) is not None:
-                    times.append(self.next_ask.get(voter, 0.0))
+                if self._first_missing_position(voter) is not None:
+                    times.append(self.next_poll_at.get(voter, 0.0))
         return min(times)
 
     def step(self, event, now: float) -> list:
-        """Apply one event and return the effects to execute.
+        """Process an event and return the effects to execute.
 
         Parameters
         ----------
         event : Wait, PositionReceived, AskFailed, TermEstablished, \
 HistoryReceived, HistoryFailed or Tick
-            What happened.
+            Event to process.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
 
         Returns
         -------
@@ -172,106 +174,111 @@
         effects: list = []
         match event:
             case Wait():
-                self._add(event)
+                self._add_write(event)
             case PositionReceived():
-                self._position(event, now)
-                self._history(event.status, effects)
+                self._record_position(event, now)
+                self._resolve_by_history(event.status, effects)
             case AskFailed():
-                self.next_ask[event.endpoint] = now + self.retry_pause_s
+                self.next_poll_at[event.endpoint] = now + self.retry_delay_s
             case TermEstablished():
-                self._establish(event.record)
+                self._handle_term(event.record)
             case HistoryReceived():
-                self.next_history = now + self.retry_pause_s
-                self._history(event.status, effects)
+                self.next_history_at = now + self.retry_delay_s
+                self._resolve_by_history(event.status, effects)
             case HistoryFailed():
-                self.next_history = now + self.retry_pause_s
+                self.next_history_at = now + self.retry_delay_s
             case Tick():
                 pass
-        self._confirm(effects)
-        self._expire(now, effects)
-        self._ask(now, effects)
+        self._confirm_writes(effects)
+        self._expire_writes(now, effects)
+        self._request_statuses(now, effects)
         return effects
 
-    def _term(self, term: int) -> _Term:
+    def _term_state(self, term: int) -> _TermState:
         if term not in self.terms:
-            self.terms[term] = _Term({}, [], None)
+            self.terms[term] = _TermState({}, [], None)
         return self.terms[term]
 
-    def _add(self, wait: Wait) -> None:
+    def _add_write(self, wait: Wait) -> None:
         self.waits[wait.write_id] = wait
-        place = (wait.position.position, wait.write_id)
-        heapq.heappush(self._term(wait.position.term).waits, place)
+        entry = (wait.position.position, wait.write_id)
+        heapq.heappush(self._term_state(wait.position.term).pending, entry)
         heapq.heappush(self.deadlines, (wait.deadline, wait.write_id))
 
-    def _position(self, event: PositionReceived, now: float) -> None:
+    def _record_position(self, event: PositionReceived, now: float) -> None:
         status = event.status
         progress = False
-        track = self.terms.get(status.last.term)
-        if track is not None and track.record is not None:
-            if _is_voter(track.record, event.endpoint, status.incarnation):
-                before = track.held.get(event.endpoint, -1)
-                progress = status.last.position > before
+        state = self.terms.get(status.last.term)
+        if state is not None and state.record is not None:
+            if _is_voter(state.record, event.endpoint, status.incarnation):
+                previous = state.positions.get(event.endpoint, -1)
+                progress = status.last.position > previous
                 if progress:
-                    track.held[event.endpoint] = status.last.position
+                    state.positions[event.endpoint] = status.last.position
         if event.asked:
-            pause = 0.0 if progress else self.retry_pause_s
-            self.next_ask[event.endpoint] = now + pause
+            delay_s = 0.0 if progress else self.retry_delay_s
+            self.next_poll_at[event.endpoint] = now + delay_s
 
-    def _establish(self, record: ServiceRecord) -> None:
+    def _handle_term(self, record: ServiceRecord) -> None:
         if self.record is not None and record.term <= self.record.term:
             return
         self.record = record
-        self._term(record.term).record = record
-        self.next_ask.clear()
-        self.next_history = 0.0
-        for term, track in list(self.terms.items()):
-            if term < record.term and not self._waits_of(track):
+        self._term_state(record.term).record = record
+        self.next_poll_at.clear()
+        self.next_history_at = 0.0
+        for term, state in list(self.terms.items()):
+            if term < record.term and not self._pending_of(state):
                 del self.terms[term]
 
-    def _waits_of(self, track: _Term) -> list[tuple[int, int]]:
-        """Return the heap of a term; its first entry is still waiting."""
-        while track.waits and track.waits[0][1] not in self.waits:
-            heapq.heappop(track.waits)
-        return track.waits
+    def _pending_of(self, state: _TermState) -> list[tuple[int, int]]:
+        """Return the heap of a term after removing decided writes on top."""
+        while state.pending and state.pending[0][1] not in self.waits:
+            heapq.heappop(state.pending)
+        return state.pending
 
-    def _has_old_waits(self) -> bool:
+    def _has_writes_of_older_terms(self) -> bool:
         current = self.record.term if self.record else 0
         return any(
-            term < current and self._waits_of(track)
-            for term, track in self.terms.items()
+            term < current and self._pending_of(state)
+            for term, state in self.terms.items()
         )
 
-    def _confirm(self, effects: list) -> None:
-        for track in self.terms.values():
-            if track.record is None:
+    def _confirm_writes(self, effects: list) -> None:
+        for state in self.terms.values():
+            if state.record is None:
                 continue
-            mark = self._quorum_position(track)
-            while self._waits_of(track) and track.waits[0][0] <= mark:
-                _, write_id = heapq.heappop(track.waits)
+            quorum_position = self._quorum_position(state)
+            while (
+                self._pending_of(state)
+                and state.pending[0][0] <= quorum_position
+            ):
+                _, write_id = heapq.heappop(state.pending)
                 wait = self.waits.pop(write_id)
-                _assert_on_quorum(track, wait.position)
+                _assert_on_quorum(state, wait.position)
                 effects.append(Confirmed(write_id))
 
-    def _quorum_position(self, track: _Term) -> float:
+    def _quorum_position(self, state: _TermState) -> float:
         """Return the highest position that a quorum holds.
 
-        The primary holds every write that it answered OK to.
+        The primary holds every write that it has executed.
         """
-        record = track.record
+        record = state.record
         quorum = quorum_of(len(record.voters))
-        held = [
-            float("inf") if v == record.primary else track.held.get(v, -1)
+        positions = [
+            float("inf") if v == record.primary else state.positions.get(v, -1)
             for v in record.voters
         ]
-        return sorted(held, reverse=True)[quorum - 1] if held else -1
+        return sorted(positions, reverse=True)[quorum - 1] if positions else -1
 
-    def _history(self, status: EndpointStatus, effects: list) -> None:
+    def _resolve_by_history(
+        self, status: EndpointStatus, effects: list
+    ) -> None:
         record = self.record
         if record is None or not self.waits:
             return
-        # A log whose last term is at or above an established term contains
-        # the established log up to that term's first entry, whoever holds
-        # it; the new primary is merely the first to have it.
+        # A log whose last term is at least an established term contains the
+        # established log up to the first entry of that term. This is true on
+        # any endpoint, not only on the primary, which has it first.
         if status.last.term < record.term or not _is_voter(
             record, status.endpoint, status.incarnation
         ):
@@ -279,57 +286,57 @@
         for wait in list(self.waits.values()):
             if wait.position.term >= record.term:
                 continue
-            owner = _owner(status, wait.position.position)
-            if owner is None:
+            owning_term = _term_at(status, wait.position.position)
+            if owning_term is None:
                 continue
             del self.waits[wait.write_id]
-            present = owner == wait.position.term
-            outcome = Confirmed if present else ProvedAbsent
+            is_present = owning_term == wait.position.term
+            outcome = Confirmed if is_present else ProvedAbsent
             effects.append(outcome(wait.write_id))
 
-    def _expire(self, now: float, effects: list) -> None:
-        self._drop_finished()
+    def _expire_writes(self, now: float, effects: list) -> None:
+        self._drop_finished_deadlines()
         while self.deadlines and self.deadlines[0][0] <= now:
             _, write_id = heapq.heappop(self.deadlines)
             if self.waits.pop(write_id, None) is not None:
                 effects.append(Unknown(write_id))
 
-    def _drop_finished(self) -> None:
+    def _drop_finished_deadlines(self) -> None:
         while self.deadlines and self.deadlines[0][1] not in self.waits:
             heapq.heappop(self.deadlines)
 
-    def _smallest_missing(self, voter: str) -> int | None:
-        """Return the smallest waiting position that a replica misses."""
+    def _first_missing_position(self, voter: str) -> int | None:
+        """Return the smallest pending position that a replica lacks."""
         record = self.record
-        track = self.terms.get(record.term)
-        if voter == record.primary or not self._waits_of(track):
+        state = self.terms.get(record.term)
+        if voter == record.primary or not self._pending_of(state):
             return None
-        held = track.held.get(voter, -1)
+        reached = state.positions.get(voter, -1)
         return min(
             (
-                place
-                for place, write_id in track.waits
-                if place > held and write_id in self.waits
+                position
+                for position, write_id in state.pending
+                if position > reached and write_id in self.waits
             ),
             default=None,
         )
 
-    def _ask(self, now: float, effects: list) -> None:
+    def _request_statuses(self, now: float, effects: list) -> None:
         if self.record is None:
             return
         by_position: dict[int, list[str]] = {}
         for voter in self.record.voters:
-            if now < self.next_ask.get(voter, 0.0):
+            if now < self.next_poll_at.get(voter, 0.0):
                 continue
-            position = self._smallest_missing(voter)
+            position = self._first_missing_position(voter)
             if position is not None:
-                self.next_ask[voter] = now + self.ask_timeout_s
+                self.next_poll_at[voter] = now + self.poll_timeout_s
                 by_position.setdefault(position, []).append(voter)
         for position, voters in sorted(by_position.items()):
-            place = Position(self.record.term, position)
-            effects.append(AskPositions(tuple(voters), place))
-        if now >= self.next_history and self._has_old_waits():
-            self.next_history = now + self.ask_timeout_s
+            target = Position(self.record.term, position)
+            effects.append(AskPositions(tuple(voters), target))
+        if now >= self.next_history_at and self._has_writes_of_older_terms():
+            self.next_history_at = now + self.poll_timeout_s
             effects.append(AskHistory(self.record.primary, self.record.term))
 
 
@@ -338,22 +345,22 @@
     return (endpoint, incarnation) in members
 
 
-def _owner(status: EndpointStatus, position: int) -> int | None:
-    """Return the term that owns `position`, or None if not recorded."""
-    owner = None
+def _term_at(status: EndpointStatus, position: int) -> int | None:
+    """Return the term of the entry at `position`; None if not recorded."""
+    owning_term = None
     for start in status.term_starts:
         if start.position <= position:
-            owner = start.term
-    return owner
+            owning_term = start.term
+    return owning_term
 
 
-def _assert_on_quorum(track: _Term, position: Position) -> None:
-    record = track.record
+def _assert_on_quorum(state: _TermState, position: Position) -> None:
+    record = state.record
     holders = [
         voter
         for voter in record.voters
         if voter == record.primary
-        or track.held.get(voter, -1) >= position.position
+        or state.positions.get(voter, -1) >= position.position
     ]
     assert record.term == position.term, (record.term, position)
     assert len(holders) >= quorum_of(len(record.voters)), (holders, position)
--- a/chivescale/session/_freshness.py
+++ b/chivescale/session/_freshness.py
@@ -1,4 +1,4 @@
-"""Proven age of the data of each endpoint."""
+"""Upper bound of the age of the data on each endpoint."""
 
 import bisect
 
@@ -8,13 +8,13 @@
 
 MAX_SAMPLES = 512
 MAX_SAMPLE_AGE_S = 60.0
-# Distance of samples as a share of their age, which bounds the error of a
-# proven age. From 2 ms to 60 s about 350 samples are enough.
+# Minimum distance of samples relative to their age, which bounds the relative
+# error of a proven age. About 350 samples cover ages from 2 ms to 60 s.
 RELATIVE_SPACING = 0.03
 MIN_SPACING_S = 0.002
 
 
-class _Known(msgspec.Struct):
+class _EndpointState(msgspec.Struct):
     incarnation: str
     last: Position | None
     promised_term: int
@@ -24,8 +24,15 @@
 class Freshness:
     """Barrier samples and endpoint positions of one service.
 
-    An endpoint at or above a barrier that was sent at T0 has, at time T,
-    data that is at most T - T0 old: its proven age.
+    At time T, the data of an endpoint at or above a barrier that was sent at
+    T0 is at most T - T0 old. This bound is the proven age of the endpoint.
+
+    Parameters
+    ----------
+    max_samples : int, optional
+        Maximum number of samples that are kept.
+    max_sample_age_s : float, optional
+        Age at which samples are discarded, in seconds.
     """
 
     def __init__(
@@ -36,60 +43,62 @@
     ):
         self.max_sample_age_s = max_sample_age_s
         self.max_samples = max_samples
-        # Both ascending, of equal length.
+        # Samples: two ascending lists of equal length.
         self.sent_at: list[float] = []
         self.positions: list[Position] = []
-        self.known: dict[str, _Known] = {}
+        self.endpoints: dict[str, _EndpointState] = {}
         self.highest_promised = 0
         self.record: ServiceRecord | None = None
 
     def term_changed(self, record: ServiceRecord) -> None:
-        """Note an established term; lower ones are ignored."""
+        """Record an established term; lower terms are ignored."""
         if self.record is None or record.term > self.record.term:
             self.record = record
 
     def add_sample(
         self, sent_at: float, position: Position, promised_term: int
     ) -> None:
-        """Note that a barrier sent at `sent_at` returned `position`."""
+        """Record that a barrier sent at `sent_at` returned `position`."""
         self.highest_promised = max(self.highest_promised, promised_term)
         if self.sent_at and sent_at <= self.sent_at[-1]:
-            # Rounds can end out of order; the newer one is in already.
+            # Rounds can finish out of order; a newer one is already recorded.
             return
-        # A later barrier at the same or a lower position proves more than
-        # the earlier one. It can be lower when entries seen by the earlier
-        # one were never confirmed.
+        # A later barrier with the same or a lower position proves more than
+        # an earlier one. It is lower if entries seen by the earlier barrier
+        # were never confirmed.
         while self.positions and self.positions[-1] >= position:
             self.positions.pop()
             self.sent_at.pop()
         self.sent_at.append(sent_at)
         self.positions.append(position)
-        self._bound(sent_at)
+        self._discard_old_samples(sent_at)
 
-    def _bound(self, now: float) -> None:
-        old = bisect.bisect_left(self.sent_at, now - self.max_sample_age_s)
-        if old:
-            del self.sent_at[:old]
-            del self.positions[:old]
+    def _discard_old_samples(self, now: float) -> None:
+        expired_count = bisect.bisect_left(
+            self.sent_at, now - self.max_sample_age_s
+        )
+        if expired_count:
+            del self.sent_at[:expired_count]
+            del self.positions[:expired_count]
         if len(self.sent_at) > self.max_samples:
-            self._thin(now)
+            self._thin_samples(now)
 
-    def _thin(self, now: float) -> None:
-        """Keep samples at distances that grow with their age.
+    def _thin_samples(self, now: float) -> None:
+        """Thin the samples so that their distance grows with their age.
 
-        Keeping the newest only would let a burst of barriers displace the
-        samples that lagging replicas depend on.
+        If only the newest samples were kept, a burst of barriers would
+        displace the samples that lagging replicas depend on.
         """
-        kept = [len(self.sent_at) - 1]
+        kept_indices = [len(self.sent_at) - 1]
         for index in range(len(self.sent_at) - 2, -1, -1):
             sent_at = self.sent_at[index]
-            gap = max(MIN_SPACING_S, RELATIVE_SPACING * (now - sent_at))
-            if self.sent_at[kept[-1]] - sent_at >= gap:
-                kept.append(index)
-        # Leave room, so that thinning is not needed for every sample.
-        kept = kept[: self.max_samples * 3 // 4][::-1]
-        self.sent_at = [self.sent_at[index] for index in kept]
-        self.positions = [self.positions[index] for index in kept]
+            min_gap_s = max(MIN_SPACING_S, RELATIVE_SPACING * (now - sent_at))
+            if self.sent_at[kept_indices[-1]] - sent_at >= min_gap_s:
+                kept_indices.append(index)
+        # Leave room, so that not every new sample requires thinning.
+        kept_indices = kept_indices[: self.max_samples * 3 // 4][::-1]
+        self.sent_at = [self.sent_at[index] for index in kept_indices]
+        self.positions = [self.positions[index] for index in kept_indices]
 
     def record_status(
         self,
@@ -98,83 +107,83 @@
         sent_at: float,
         received_at: float,
     ) -> None:
-        """Note an answer of an endpoint.
+        """Record the status that an endpoint returned.
 
         Parameters
         ----------
         endpoint : str
-            Who answered.
+            Name of the endpoint.
         status : EndpointStatus
-            Its answer.
+            Its status.
         sent_at, received_at : float
-            When the question left and the answer came, in monotonic
-            seconds. They order answers of different incarnations: an
+            When the request was sent and the answer received, in monotonic
+            seconds. They order the answers of different incarnations: an
             answer from before a loss of data must not hide the loss.
         """
         self.highest_promised = max(
             self.highest_promised, status.promised_term
         )
-        known = self.known.get(endpoint)
-        if known is None:
-            self.known[endpoint] = _Known(
+        state = self.endpoints.get(endpoint)
+        if state is None:
+            self.endpoints[endpoint] = _EndpointState(
                 status.incarnation,
                 status.last,
                 status.promised_term,
                 received_at,
             )
             return
-        if known.incarnation == status.incarnation:
-            if known.last is not None:
-                known.last = max(known.last, status.last)
-            elif sent_at >= known.received_at:
-                known.last = status.last
-            known.promised_term = max(
-                known.promised_term, status.promised_term
+        if state.incarnation == status.incarnation:
+            if state.last is not None:
+                state.last = max(state.last, status.last)
+            elif sent_at >= state.received_at:
+                state.last = status.last
+            state.promised_term = max(
+                state.promised_term, status.promised_term
             )
-            known.received_at = max(known.received_at, received_at)
+            state.received_at = max(state.received_at, received_at)
             return
-        newer = sent_at >= known.received_at
-        known.incarnation = status.incarnation
-        known.last = status.last if newer else None
-        known.promised_term = status.promised_term if newer else 0
-        known.received_at = max(known.received_at, received_at)
+        is_newer = sent_at >= state.received_at
+        state.incarnation = status.incarnation
+        state.last = status.last if is_newer else None
+        state.promised_term = status.promised_term if is_newer else 0
+        state.received_at = max(state.received_at, received_at)
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of an endpoint that was removed."""
-        self.known.pop(endpoint, None)
+        """Discard the state of an endpoint that was removed."""
+        self.endpoints.pop(endpoint, None)
 
     def position(self, endpoint: str) -> Position | None:
-        """Return the latest known position of an endpoint."""
-        known = self.known.get(endpoint)
-        return known.last if known else None
+        """Return the latest known position of an endpoint, if any."""
+        state = self.endpoints.get(endpoint)
+        return state.last if state else None
 
     def incarnation(self, endpoint: str) -> str | None:
-        """Return the incarnation that the knowledge of an endpoint is of.
+        """Return the incarnation that the state of an endpoint refers to.
 
         A read must run on a connection to this incarnation: an endpoint
         that lost its data has a new one.
         """
-        known = self.known.get(endpoint)
-        return known.incarnation if known else None
+        state = self.endpoints.get(endpoint)
+        return state.incarnation if state else None
 
     def promised_ok(self, endpoint: str, promised_term: int = 0) -> bool:
-        """Tell whether an endpoint promised the highest known term.
+        """Return whether an endpoint has promised the highest known term.
 
         An endpoint that has not may hold entries that are being replaced.
         """
-        known = self.known.get(endpoint)
-        needed = max(promised_term, self.highest_promised)
+        state = self.endpoints.get(endpoint)
+        required_term = max(promised_term, self.highest_promised)
         if self.record is not None:
-            needed = max(needed, self.record.term)
-        if self._is_primary(endpoint) and self.record.term >= needed:
+            required_term = max(required_term, self.record.term)
+        if self._is_primary(endpoint) and self.record.term >= required_term:
             return True
-        return known is not None and known.promised_term >= needed
+        return state is not None and state.promised_term >= required_term
 
     def holds(self, endpoint: str, position: Position) -> bool:
-        """Tell whether an endpoint provably includes `position`.
+        """Return whether an endpoint is proven to hold `position`.
 
-        The primary of the published term holds every position of that term
-        and below by definition.
+        By definition, the primary of the published term holds every position
+        of that term and of lower terms.
         """
         if not self.promised_ok(endpoint):
             return False
@@ -184,19 +193,19 @@
         return last is not None and last >= position
 
     def proven_age_s(self, endpoint: str, now: float) -> float | None:
-        """Return the proven age of an endpoint's data, in seconds.
+        """Return the proven age of the data of an endpoint.
 
         Returns
         -------
         float or None
-            None if nothing is proven.
+            Upper bound of the age in seconds; None if there is none.
         """
         if not self.sent_at or not self.promised_ok(endpoint):
             return None
         last = self.position(endpoint)
         if self._is_primary(endpoint):
-            floor = Position(self.record.term, 1 << 62)
-            last = floor if last is None else max(last, floor)
+            lower_bound = Position(self.record.term, 1 << 62)
+            last = lower_bound if last is None else max(last, lower_bound)
         if last is None:
             return None
         index = bisect.bisect_right(self.positions, last)
@@ -205,36 +214,36 @@
     def endpoints_within(
         self, age_s: float, position: Position | None, now: float
     ) -> list[str]:
-        """Return endpoints with a proven age within `age_s`.
+        """Return the endpoints whose proven age is at most `age_s`.
 
         Parameters
         ----------
         age_s : float
             Accepted age, in seconds.
         position : Position or None
-            What the session must see.
+            Position that the endpoints must hold.
         now : float
-            Monotonic seconds.
+            Monotonic time in seconds.
         """
-        names = set(self.known)
+        names = set(self.endpoints)
         if self.record is not None and self.record.primary:
             names.add(self.record.primary)
-        found = []
+        eligible = []
         for name in sorted(names):
             age = self.proven_age_s(name, now)
             if age is None or age > age_s:
                 continue
             if position is None or self.holds(name, position):
-                found.append(name)
-        return found
+                eligible.append(name)
+        return eligible
 
     def _is_primary(self, endpoint: str) -> bool:
         record = self.record
         if record is None or record.primary != endpoint:
             return False
-        known = self.known.get(endpoint)
-        if known is None:
+        state = self.endpoints.get(endpoint)
+        if state is None:
             return True
-        # A primary that lost its data no longer holds its term's log.
+        # A primary that lost its data no longer holds the log of its term.
         members = zip(record.voters, record.incarnations, strict=True)
-        return (endpoint, known.incarnation) in members
+        return (endpoint, state.incarnation) in members
--- a/chivescale/session/_keys.py
+++ b/chivescale/session/_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: SQL texts and the meaning of a stored row."""
+"""Idempotency keys: SQL statements and the interpretation of results."""
 
 import hashlib
 import re
@@ -7,8 +7,8 @@
 
 from chivescale.errors import ErrorKind, Failure
 
-# Binary collation: with a case-insensitive one, keys that differ only in
-# case would count as the same request.
+# Binary collation, because under a case-insensitive one keys that differ only
+# in case would count as the same request.
 CREATE_REQUEST_TABLE = (
     "CREATE TABLE IF NOT EXISTS chivescale_request ("
     "workspace VARCHAR(128) COLLATE binary NOT NULL, "
@@ -19,15 +19,15 @@
     "created_at TIMESTAMP NOT NULL DEFAULT CURRENT_TIMESTAMP, "
     "PRIMARY KEY (workspace, request_key))"
 )
-# MySQL error number of a duplicate primary key: the key was seen before.
+# MySQL error number of a duplicate primary key: the key is already stored.
 DUPLICATE_ERRNO = 1062
-# Lock wait timeout and deadlock: another transaction holds the key.
+# Lock wait timeout and deadlock: another transaction has locked the key.
 LOCKED_ERRNOS = frozenset({1205, 1213})
-_PLAIN = re.compile(r"[A-Za-z0-9 ._:/+=@-]*", re.ASCII)
+_PLAIN_TEXT = re.compile(r"[A-Za-z0-9 ._:/+=@-]*", re.ASCII)
 
 
 class StoredResult(msgspec.Struct, frozen=True):
-    """Result of a request that ran before."""
+    """Stored result of a request that was already executed."""
 
     affected_rows: int
     last_insert_id: int
@@ -39,9 +39,9 @@
     Attributes
     ----------
     workspace : str
-        Workspace that the key belongs to.
+        Workspace of the caller.
     key : str
-        Key of the caller.
+        Key chosen by the caller.
     digest : str
         Digest of the statement, from `statement_digest`.
     """
@@ -51,15 +51,15 @@
     digest: str
 
     def insert_sql(self) -> str:
-        """Return the statement that claims the key.
+        """Return the statement that inserts the key.
 
-        It fails with `DUPLICATE_ERRNO` if the key was seen before.
+        It fails with `DUPLICATE_ERRNO` if the key is already stored.
         """
         return (
             "INSERT INTO chivescale_request "
             "(workspace, request_key, digest) VALUES "
-            f"({_literal(self.workspace)}, {_literal(self.key)}, "
-            f"{_literal(self.digest)})"
+            f"({_quote(self.workspace)}, {_quote(self.key)}, "
+            f"{_quote(self.digest)})"
         )
 
     def update_sql(self, affected_rows: int, last_insert_id: int) -> str:
@@ -67,30 +67,31 @@
         return (
             "UPDATE chivescale_request "
             f"SET affected_rows = {int(affected_rows)}, "
-            f"last_insert_id = {int(last_insert_id)} WHERE {self._where()}"
+            f"last_insert_id = {int(last_insert_id)} "
+            f"WHERE {self._where_clause()}"
         )
 
     def select_sql(self) -> str:
-        """Return the query whose row `interpret` takes."""
+        """Return the query for the row that `interpret` expects."""
         return (
             "SELECT digest, affected_rows, last_insert_id "
-            f"FROM chivescale_request WHERE {self._where()}"
+            f"FROM chivescale_request WHERE {self._where_clause()}"
         )
 
     def interpret(self, row: tuple | None) -> StoredResult | Failure | None:
-        """Return what a stored row says about this request.
+        """Interpret a stored row for this request.
 
         Parameters
         ----------
         row : tuple or None
-            Row of `select_sql`; None if there was none.
+            Row returned by `select_sql`; None if there was none.
 
         Returns
         -------
         StoredResult, Failure or None
             The stored result; ``KEY_REUSED`` if the key was used for
-            another statement; ``KEY_IN_PROGRESS`` if the result is not
-            there yet; None if the key is not stored.
+            another statement; ``KEY_IN_PROGRESS`` if no result is stored
+            yet; None if the key is not stored.
         """
         if row is None:
             return None
@@ -109,21 +110,21 @@
             )
         return StoredResult(int(affected_rows), int(last_insert_id or 0))
 
-    def _where(self) -> str:
+    def _where_clause(self) -> str:
         return (
-            f"workspace = {_literal(self.workspace)} "
-            f"AND request_key = {_literal(self.key)}"
+            f"workspace = {_quote(self.workspace)} "
+            f"AND request_key = {_quote(self.key)}"
         )
 
 
 def statement_digest(sql: str) -> str:
-    """Return the digest of a statement, 64 hex digits."""
+    """Return the SHA-256 digest of a statement as 64 hex digits."""
     return hashlib.sha256(sql.encode()).hexdigest()
 
 
-def _literal(text: str) -> str:
-    # Quotes and backslashes mean different things under different SQL
-    # modes, so anything unusual is sent as a hexadecimal literal.
-    if _PLAIN.fullmatch(text):
+def _quote(text: str) -> str:
+    # The meaning of quotes and backslashes depends on the SQL mode, so text
+    # with other than plain characters is sent as a hexadecimal literal.
+    if _PLAIN_TEXT.fullmatch(text):
         return f"'{text}'"
     return f"X'{text.encode().hex()}'"
--- a/chivescale/session/_position.py
+++ b/chivescale/session/_position.py
@@ -1,4 +1,4 @@
-"""What the reads of one session have to include."""
+"""Position that the reads of a session must include."""
 
 from chivescale.messages import Position
 from chivescale.session._token import Token
@@ -8,53 +8,61 @@
 
 
 class SessionPosition:
-    """Position that the next read of a caller's connection must include.
+    """Tracks the position that reads of a caller's connection must include.
 
     Parameters
     ----------
     service : str
         Service of the connection.
     scope : str
-        ``workspace`` or ``connection``, from the workspace's binding.
+        ``workspace`` or ``connection``, from the binding of the workspace.
 
     Attributes
     ----------
-    seen : Position or None
+    highest_seen : Position or None
         Highest position known to be visible to the session.
     has_token : bool
         Whether the caller presented a token on this connection.
-    anchored : bool
-        Whether `seen` covers everything confirmed before the connection
-        opened: after one barrier or one confirmed write on it.
+    covers_earlier_writes : bool
+        Whether `highest_seen` includes all writes confirmed before the
+        connection was opened. True after the first barrier or confirmed
+        write on it.
     """
 
-    __slots__ = ("anchored", "has_token", "scope", "seen", "service")
+    __slots__ = (
+        "covers_earlier_writes",
+        "has_token",
+        "highest_seen",
+        "scope",
+        "service",
+    )
 
     def __init__(self, service: str, scope: str = SCOPE_WORKSPACE):
         self.service = service
         self.scope = scope
-        self.seen: Position | None = None
+        self.highest_seen: Position | None = None
         self.has_token = False
-        self.anchored = False
+        self.covers_earlier_writes = False
 
     def use_token(self, token: Token) -> None:
-        """Note a token of this service that the caller presented."""
+        """Record a token of this service that the caller presented."""
         self.has_token = True
-        self._raise_to(token.position)
+        self._advance_to(token.position)
 
     def write_confirmed(self, position: Position) -> None:
-        """Note a confirmed write of this connection."""
-        # Later in the log than every write confirmed before it was sent.
-        self.anchored = True
-        self._raise_to(position)
+        """Record a confirmed write of this connection."""
+        # It follows in the log every write that was confirmed before it was
+        # sent.
+        self.covers_earlier_writes = True
+        self._advance_to(position)
 
     def barrier_taken(self, position: Position) -> None:
-        """Note the barrier that a read of this connection used."""
-        self.anchored = True
-        self._raise_to(position)
+        """Record the barrier that a read of this connection used."""
+        self.covers_earlier_writes = True
+        self._advance_to(position)
 
     def needs_barrier(self, has_token: bool = False) -> bool:
-        """Tell whether the next read must take a barrier.
+        """Return whether the next read requires a barrier.
 
         Parameters
         ----------
@@ -62,34 +70,36 @@
             Whether the statement itself carries a token.
         """
         return needs_barrier(
-            self.scope, has_token or self.has_token, self.anchored
+            self.scope, has_token or self.has_token, self.covers_earlier_writes
         )
 
     def required(self, token: Token | None = None) -> Position | None:
-        """Return what a read must include; None if nothing is known."""
+        """Return the position that a read must include; None if unknown."""
         if token is None:
-            return self.seen
-        if self.seen is None:
+            return self.highest_seen
+        if self.highest_seen is None:
             return token.position
-        return max(self.seen, token.position)
+        return max(self.highest_seen, token.position)
 
     def token(self) -> Token | None:
-        """Return the token to hand out; None if nothing is known."""
-        if self.seen is None:
+        """Return the token for the caller; None if no position is known."""
+        if self.highest_seen is None:
             return None
-        return Token(self.service, self.seen)
+        return Token(self.service, self.highest_seen)
 
-    def _raise_to(self, position: Position) -> None:
-        if self.seen is None or position > self.seen:
-            self.seen = position
+    def _advance_to(self, position: Position) -> None:
+        if self.highest_seen is None or position > self.highest_seen:
+            self.highest_seen = position
 
 
-def needs_barrier(scope: str, has_token: bool, anchored: bool) -> bool:
-    """Tell whether a read must take a barrier.
+def needs_barrier(
+    scope: str, has_token: bool, covers_earlier_writes: bool
+) -> bool:
+    """Return whether a read requires a barrier.
 
-    With ``workspace`` scope and no token, another connection of the
-    workspace may have written, so what this connection has seen does not
-    suffice.
+    With ``workspace`` scope and no token, another connection of the workspace
+    may have written, so the position known to this connection is not
+    sufficient.
 
     Parameters
     ----------
@@ -97,8 +107,8 @@
         ``workspace`` or ``connection``.
     has_token : bool
         Whether the caller presented a token.
-    anchored : bool
-        Whether the connection took a barrier or had a write confirmed.
+    covers_earlier_writes : bool
+        Whether the connection had a barrier or a confirmed write.
 
     Examples
     --------
@@ -109,4 +119,4 @@
     """
     if has_token:
         return False
-    return scope != SCOPE_CONNECTION or not anchored
+    return scope != SCOPE_CONNECTION or not covers_earlier_writes
--- a/chivescale/session/_quorum.py
+++ b/chivescale/session/_quorum.py
@@ -1,8 +1,8 @@
-"""Quorum arithmetic shared by barriers and confirmations."""
+"""Quorum size, shared by barriers and confirmations."""
 
 
 def quorum_of(voters: int) -> int:
-    """Return the smallest majority of `voters` members.
+    """Return the size of the smallest majority of `voters` voters.
 
     Examples
     --------
--- a/chivescale/session/_token.py
+++ b/chivescale/session/_token.py
@@ -1,4 +1,4 @@
-"""Session tokens and their text form."""
+"""Session tokens and their text representation."""
 
 import re
 import zlib
@@ -9,8 +9,9 @@
 from chivescale.messages import Position
 
 MAX_TOKEN_LENGTH = 200
-# Bounds the work of int() on hostile input; 2**63 has 19 digits.
-_TEXT = re.compile(
+# The number of digits is limited to bound the cost of int() on malicious
+# input; 2**63 has 19 digits.
+_TOKEN_PATTERN = re.compile(
     r"(?P<body>c1\.(?P<service>[^.\s]{1,128})"
     r"\.(?P<term>[0-9]{1,19})\.(?P<position>[0-9]{1,19}))"
     r"\.(?P<checksum>[0-9a-f]{8})",
@@ -26,7 +27,7 @@
     service : str
         Service that the position belongs to.
     position : Position
-        Term and log position that the next read has to include.
+        Term and log position that the next read must include.
     """
 
     service: str
@@ -34,7 +35,7 @@
 
 
 def format_token(token: Token) -> str:
-    """Return the text of `token`; dots of the name are escaped.
+    """Return the text of `token`; dots in the service name are escaped.
 
     Examples
     --------
@@ -42,37 +43,38 @@
     'c1.ledger.3.17.f3719d4d'
     """
     service = token.service.replace("%", "%25").replace(".", "%2E")
-    place = token.position
-    body = f"c1.{service}.{place.term}.{place.position}"
+    position = token.position
+    body = f"c1.{service}.{position.term}.{position.position}"
     return f"{body}.{_checksum(body)}"
 
 
 def parse_token(text: str, service: str = "") -> Token | Failure:
-    """Read a token that a caller sent.
+    """Parse and validate a token that a caller sent.
 
     Parameters
     ----------
     text : str
-        Text that `format_token` produced.
+        Text produced by `format_token`.
     service : str, optional
-        Service of the connection. A token of another service says nothing
-        about this one, so it is refused.
+        Service of the connection. Positions of different services are not
+        comparable, so a token of another service is rejected.
 
     Returns
     -------
     Token or Failure
-        ``BAD_REQUEST`` for malformed text or another service.
+        The token, or ``BAD_REQUEST`` if it is malformed or belongs to
+        another service.
     """
     if len(text) > MAX_TOKEN_LENGTH:
-        return _refused("chivescale_token is too long")
-    match = _TEXT.fullmatch(text)
+        return _bad_request("chivescale_token is too long")
+    match = _TOKEN_PATTERN.fullmatch(text)
     if match is None:
-        return _refused("chivescale_token is malformed")
+        return _bad_request("chivescale_token is malformed")
     if _checksum(match["body"]) != match["checksum"]:
-        return _refused("chivescale_token has a wrong checksum")
+        return _bad_request("chivescale_token has a wrong checksum")
     name = match["service"].replace("%2E", ".").replace("%25", "%")
     if service and name != service:
-        return _refused(f"chivescale_token belongs to service {name}")
+        return _bad_request(f"chivescale_token belongs to service {name}")
     return Token(name, Position(int(match["term"]), int(match["position"])))
 
 
@@ -80,5 +82,5 @@
     return f"{zlib.crc32(body.encode()):08x}"
 
 
-def _refused(reason: str) -> Failure:
+def _bad_request(reason: str) -> Failure:
     return Failure(ErrorKind.BAD_REQUEST, reason)
--- a/chivescale/session/tests/barriers.feature
+++ b/chivescale/session/tests/barriers.feature
@@ -1,68 +1,69 @@
 Feature: Barriers
-  Guards against a read that misses a write confirmed before it arrived.
+  Guards against a read that misses a write that was confirmed before the read
+  arrived.
 
-  Scenario Outline: What answers prove
+  Scenario Outline: Outcome of a round by the answers of the endpoints
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers <answers> arrive
     Then the barrier is <outcome>
 
     Examples:
       | answers                        | outcome               |
-      | b:2:2.91                       | open                  |
-      | b:2:2.91 b:2:2.91              | open                  |
+      | b:2:2.91                       | pending               |
+      | b:2:2.91 b:2:2.91              | pending               |
       | b:2:2.91 c:2:2.90              | 2.91 promised 2 at b  |
       | b:2:2.90 c:2:2.90              | 2.90 promised 2 at bc |
       | b:2:2.91 c:3:2.90              | 2.91 promised 3 at -  |
       | a:1:1.100 b:2:2.91             | 2.91 promised 2 at b  |
       | a:2:1.100 c:2:2.91             | 2.91 promised 2 at c  |
-      | b:2:2.91 c:2:9.99:lost         | open                  |
-      | b:2:2.91 d:2:2.99              | open                  |
-      | b:2:2.91 c:3:3.92              | held                  |
-      | b:2:1.91 c:2:1.92              | held                  |
+      | b:2:2.91 c:2:9.99:lost         | pending               |
+      | b:2:2.91 d:2:2.99              | pending               |
+      | b:2:2.91 c:3:3.92              | deferred              |
+      | b:2:1.91 c:2:1.92              | deferred              |
       | b:- c:-                        | no_quorum             |
       | b:- c:2:2.90 a:2:2.91          | 2.91 promised 2 at a  |
       | b:- b:2:2.91 c:2:2.90          | 2.91 promised 2 at b  |
 
-  Scenario: Reads that wait share a round; a later read takes the next one
+  Scenario: Pending reads share a round; a later read uses the next one
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers b:2:2.5 arrive
     And read 2 joins and the answers c:2:2.5 arrive
     Then reads 1 are ready
-    And round 2 is under way for reads 2
+    And round 2 is in progress for reads 2
 
-  Scenario: The primary is asked when the replicas are slow
+  Scenario: The primary is contacted when the replicas are slow
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers b:2:2.5 arrive
-    Then the endpoints asked are b, c
+    Then the endpoints contacted are b, c
     When 0.021 s pass
-    Then the endpoints asked are a, b, c
+    Then the endpoints contacted are a, b, c
 
-  Scenario: The primary is asked at once after a replica missed a round
+  Scenario: The primary is contacted immediately after a replica missed a round
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers b:2:2.5 arrive
     And 0.021 s pass
     And the first round gets the answers a:2:2.5
     And read 2 joins and the answers a:2:2.5 arrive
-    Then the endpoints asked are a, b, c
+    Then the endpoints contacted are a, b, c
 
-  Scenario: A replica that answers late is relied on again
+  Scenario: A replica that answers late is no longer considered slow
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers b:2:2.5 arrive
     And 0.021 s pass
     And the first round gets the answers a:2:2.5 c:2:2.5
     And read 2 joins and the answers b:2:2.5 arrive
-    Then the endpoints asked are b, c
+    Then the endpoints contacted are b, c
 
-  Scenario: A second round starts on fresh connections when the first hangs
+  Scenario: A second round on new connections starts when the first stalls
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers b:2:2.5 arrive
     And 0.11 s pass
-    Then round 2 is under way for reads 1
-    And fresh connections are used
+    Then round 2 is in progress for reads 1
+    And new connections are used
     When the second round gets the answers b:2:2.6 c:2:2.5
     Then reads 1 are ready
 
-  Scenario Outline: A round without a quorum ends by itself
+  Scenario Outline: A round without a quorum fails
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers <answers> arrive
     And <seconds> s pass
@@ -73,23 +74,23 @@
       | b:2:2.5           | 0.7     | no_quorum          |
       | b:2:2.5 c:3:3.6   | 5.1     | freshness_unproved |
 
-  Scenario: A term with other voters starts a new round among them
+  Scenario: A term with other voters starts a new round with these voters
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers b:2:2.91 c:3:3.92 arrive
     And term 3 is published with voters b, c, d and primary c
-    Then round 2 is under way for reads 1
-    And the endpoints asked are b, d
+    Then round 2 is in progress for reads 1
+    And the endpoints contacted are b, d
     When the second round gets the answers b:3:3.92 d:3:3.93
     Then the barrier is 3.93 promised 3 at d
 
-  Scenario: Answers of a round from before a new term do not count
+  Scenario: Answers of a round that started before a new term do not count
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers b:2:2.91 arrive
     And term 3 is published with voters b, c, d and primary c
     And the first round gets the answers c:3:3.92
-    Then the barrier is open
+    Then the barrier is pending
 
-  Scenario: A barrier is as old as its question, not as its answers
+  Scenario: The age of a barrier is counted from its request, not its answers
     Given voters a, b, c with primary a in term 2
     When read 1 joins and the answers b:2:2.91 arrive
     And 0.01 s pass
--- a/chivescale/session/tests/group_model.py
+++ b/chivescale/session/tests/group_model.py
@@ -1,4 +1,4 @@
-"""Reference model of a database group with terms, promises and failovers."""
+"""Simulated database group with terms, promises and failovers."""
 
 import random
 
@@ -16,13 +16,13 @@
 
 
 class Endpoint:
-    """One endpoint; its log holds (term, entry id) pairs."""
+    """Simulated endpoint; its log consists of (term, entry id) pairs."""
 
     def __init__(self, name: str):
         self.name = name
         self.incarnation = 1
-        self.promised = 0
-        self.primary_of = 0
+        self.promised_term = 0
+        self.primary_term = 0
         self.log: list[tuple[int, str]] = []
 
     def last(self) -> Position:
@@ -33,13 +33,13 @@
         return {entry for _, entry in self.log}
 
     def promise(self, term: int) -> None:
-        self.promised = max(self.promised, term)
-        if self.primary_of < self.promised:
-            self.primary_of = 0
+        self.promised_term = max(self.promised_term, term)
+        if self.primary_term < self.promised_term:
+            self.primary_term = 0
 
-    def wipe(self) -> None:
+    def lose_data(self) -> None:
         self.incarnation += 1
-        self.promised = self.primary_of = 0
+        self.promised_term = self.primary_term = 0
         self.log = []
 
     def status(self) -> EndpointStatus:
@@ -51,8 +51,8 @@
             endpoint=self.name,
             service=SERVICE,
             incarnation=str(self.incarnation),
-            role="primary" if self.primary_of else "replica",
-            promised_term=self.promised,
+            role="primary" if self.primary_term else "replica",
+            promised_term=self.promised_term,
             last=self.last(),
             mysql_address="",
             admin_address="",
@@ -61,31 +61,33 @@
 
 
 class Attempt(msgspec.Struct):
-    """One failover attempt of the control leader."""
+    """Failover attempt of the control leader."""
 
     term: int
-    # (incarnation, last) of each voter when it promised.
+    # (incarnation, last position) of each voter when it promised the term.
     promises: dict[str, tuple[str, Position]] = {}
     record: ServiceRecord | None = None
 
 
 class Group:
-    """Endpoints plus a control leader that follows design section 2.2."""
+    """Endpoints and a control leader as in section 2.2 of docs/design.md."""
 
     def __init__(self, rng: random.Random, size: int, spares: int = 2):
         self.rng = rng
         names = [f"e{number}" for number in range(size + spares)]
         self.endpoints = {name: Endpoint(name) for name in names}
-        self.begun = 1
+        self.last_term = 1
         self.attempt: Attempt | None = None
         self.records: list[ServiceRecord] = []
-        self.side = dict.fromkeys(names, 0)
-        self.lag = {name: rng.choice((0.0, 0.5, 0.9)) for name in names}
+        self.partition = dict.fromkeys(names, 0)
+        self.skip_probability = {
+            name: rng.choice((0.0, 0.5, 0.9)) for name in names
+        }
         first = self.endpoints["e0"]
         for name in names[:size]:
             self.endpoints[name].promise(1)
             self.endpoints[name].log = [(1, "marker-1")]
-        first.primary_of = 1
+        first.primary_term = 1
         self._publish(self._record(1, "e0", tuple(names[:size]), 1))
 
     @property
@@ -93,47 +95,51 @@
         return self.records[-1]
 
     def established_entries(self) -> set[str]:
-        """Return what the established log contains."""
-        return self.established
+        """Return the entries of the established log."""
+        return self.established_log_entries
 
     def write(self, name: str, entry: str) -> Position | None:
-        """Append at an endpoint that believes to be primary."""
+        """Append an entry on an endpoint that considers itself primary."""
         endpoint = self.endpoints[name]
-        if not endpoint.primary_of:
+        if not endpoint.primary_term:
             return None
-        endpoint.log.append((endpoint.primary_of, entry))
+        endpoint.log.append((endpoint.primary_term, entry))
         return endpoint.last()
 
     def replicate(self) -> None:
-        """Let a random endpoint fetch some entries from some primary."""
+        """Replicate entries from a random primary to a random endpoint."""
         rng = self.rng
-        sources = [e for e in self.endpoints.values() if e.primary_of]
+        sources = [e for e in self.endpoints.values() if e.primary_term]
         if not sources:
             return
         source = rng.choice(sources)
         target = self.endpoints[rng.choice(sorted(self.endpoints))]
-        if target is source or target.promised > source.primary_of:
+        if target is source or target.promised_term > source.primary_term:
             return
-        if self.side[target.name] != self.side[source.name]:
+        if self.partition[target.name] != self.partition[source.name]:
             return
-        if rng.random() < self.lag[target.name]:
+        if rng.random() < self.skip_probability[target.name]:
             return
-        target.promise(source.primary_of)
-        common = 0
-        for mine, theirs in zip(target.log, source.log, strict=False):
-            if mine != theirs:
+        target.promise(source.primary_term)
+        common_length = 0
+        for target_entry, source_entry in zip(
+            target.log, source.log, strict=False
+        ):
+            if target_entry != source_entry:
                 break
-            common += 1
-        del target.log[common:]
-        target.log += source.log[common : common + rng.randint(0, 6)]
+            common_length += 1
+        del target.log[common_length:]
+        target.log += source.log[
+            common_length : common_length + rng.randint(0, 6)
+        ]
 
     def begin(self) -> None:
-        """Begin a term; an unfinished attempt is given up."""
-        self.begun += 1
-        self.attempt = Attempt(self.begun)
+        """Begin a term and abandon an unfinished attempt."""
+        self.last_term += 1
+        self.attempt = Attempt(self.last_term)
 
     def advance(self) -> None:
-        """Make one step of the attempt under way."""
+        """Advance the current attempt by one step."""
         attempt = self.attempt
         if attempt is None:
             return
@@ -142,18 +148,18 @@
             return
         name = self.rng.choice(self.record.voters)
         voter = self.endpoints[name]
-        if self.side[name] == 0 and voter.promised < attempt.term:
+        if self.partition[name] == 0 and voter.promised_term < attempt.term:
             voter.promise(attempt.term)
             promise = (str(voter.incarnation), voter.last())
             if promise[0] == self._incarnation(self.record, name):
                 attempt.promises[name] = promise
-        # Later promises do not change an attempt that has its primary.
+        # Later promises do not change an attempt that has chosen its primary.
         quorum = quorum_of(len(self.record.voters))
         if attempt.record is None and len(attempt.promises) >= quorum:
             self._promote(attempt)
 
-    def wipe(self) -> None:
-        """Lose the disk of an endpoint, but never of a quorum."""
+    def lose_data(self) -> None:
+        """Lose the data of an endpoint, unless a quorum would be lost."""
         name = self.rng.choice(sorted(self.endpoints))
         records = [self.record]
         if self.attempt is not None and self.attempt.record is not None:
@@ -167,21 +173,21 @@
             voters = len(record.voters)
             if len(lost) > voters - quorum_of(voters):
                 return
-        self.endpoints[name].wipe()
+        self.endpoints[name].lose_data()
 
     def _promote(self, attempt: Attempt) -> None:
-        best = max(
+        chosen = max(
             attempt.promises, key=lambda name: attempt.promises[name][1]
         )
-        endpoint = self.endpoints[best]
-        if endpoint.promised != attempt.term or (
-            str(endpoint.incarnation) != attempt.promises[best][0]
+        endpoint = self.endpoints[chosen]
+        if endpoint.promised_term != attempt.term or (
+            str(endpoint.incarnation) != attempt.promises[chosen][0]
         ):
             return
-        endpoint.primary_of = attempt.term
+        endpoint.primary_term = attempt.term
         endpoint.log.append((attempt.term, f"marker-{attempt.term}"))
         attempt.record = self._record(
-            attempt.term, best, self._next_voters(best), len(endpoint.log)
+            attempt.term, chosen, self._next_voters(chosen), len(endpoint.log)
         )
 
     def _next_voters(self, primary: str) -> tuple[str, ...]:
@@ -200,7 +206,7 @@
         return ServiceRecord(
             SERVICE,
             len(voters),
-            self.begun,
+            self.last_term,
             term,
             primary,
             voters,
@@ -224,7 +230,7 @@
     def _publish(self, record: ServiceRecord) -> None:
         self.records.append(record)
         log = self.endpoints[record.primary].log[: record.marker]
-        self.established = {entry for _, entry in log}
+        self.established_log_entries = {entry for _, entry in log}
 
     def _current(self, record: ServiceRecord, name: str) -> bool:
         incarnation = str(self.endpoints[name].incarnation)
--- a/chivescale/session/tests/session.feature
+++ b/chivescale/session/tests/session.feature
@@ -1,9 +1,9 @@
 Feature: Tokens, session positions, proven ages and idempotency keys
-  Guards against reads below the session's position, ages that are not
-  proven, and requests that run twice.
+  Guards against reads below the position of the session, wrong proven ages
+  and requests that are executed twice.
 
-  Scenario Outline: Reading a token
-    When the token text <text> is read for service ledger
+  Scenario Outline: Parsing a token
+    When the token text <text> is parsed for service ledger
     Then the result is <result>
 
     Examples:
@@ -15,12 +15,12 @@
       | LONG                     | too long            |
       | OTHER                    | belongs to service  |
 
-  Scenario: Tokens of any name survive the text form
-    Then tokens of drawn names and positions are read back
+  Scenario: Any token can be formatted and parsed back
+    Then tokens with random names and positions are parsed back unchanged
 
-  Scenario Outline: Whether a read needs a barrier
+  Scenario Outline: Which reads require a barrier
     Given a connection with scope <scope>
-    When these happen: <events>
+    When these events are recorded: <events>
     Then a barrier is needed: <needed>, and reads must include <position>
 
     Examples:
@@ -36,12 +36,12 @@
       | connection | write:1.5            | no     | 1.5      |
 
   Scenario Outline: Proven age
-    Given term 2 with primary a is published to a freshness record
-    When these answers and samples are noted: <facts>
-    Then at 10 s the age of <endpoint> is <age>
+    Given a freshness object with term 2 and primary a
+    When these answers and samples are recorded: <records>
+    Then at 10 s the proven age of <endpoint> is <age>
 
     Examples:
-      | facts                                        | endpoint | age  |
+      | records                                      | endpoint | age  |
       | b@1=2:2.5                                    | b        | none |
       | b@1=2:2.5 sample@2=2.5                       | b        | 8    |
       | b@1=2:2.5 sample@2=2.5 sample@4=2.5          | b        | 6    |
@@ -55,13 +55,13 @@
       | sample@2=2.5 a@3=0:0.0:lost                  | a        | none |
       | b@5=2:0.0:lost late:b@1=2:2.5 sample@2=2.5   | b        | none |
 
-  Scenario Outline: Whether an endpoint holds a position
-    Given term 2 with primary a is published to a freshness record
-    When these answers and samples are noted: <facts>
+  Scenario Outline: Which positions an endpoint holds
+    Given a freshness object with term 2 and primary a
+    When these answers and samples are recorded: <records>
     Then <endpoint> holds <position>: <holds>
 
     Examples:
-      | facts                 | endpoint | position | holds |
+      | records               | endpoint | position | holds |
       | b@1=2:2.5             | b        | 2.5      | yes   |
       | b@1=2:2.5             | b        | 2.6      | no    |
       | b@1=2:2.5             | b        | 1.99     | yes   |
@@ -72,19 +72,19 @@
       | b@1=2:2.5             | a        | 3.1      | no    |
       | b@1=3:2.5             | a        | 2.1      | no    |
 
-  Scenario: Samples stay bounded and old ones remain usable
-    Given term 2 with primary a is published to a freshness record
-    When 10000 samples are noted in 10 s
+  Scenario: The number of samples is bounded and old ones remain usable
+    Given a freshness object with term 2 and primary a
+    When 10000 samples are recorded in 10 s
     Then at most 512 samples are kept
     And a replica 4 s behind has a proven age under 4.5 s
 
-  Scenario Outline: What a stored key means
+  Scenario Outline: Interpretation of a stored key
     Given a table of requests with a stored request <stored>
     When the request <request> is looked up
-    Then the key says <meaning>
+    Then the result of the key is <result>
 
     Examples:
-      | stored           | request        | meaning         |
+      | stored           | request        | result          |
       | -                | w k1 A         | none            |
       | w k1 A 3 7       | w k1 A         | 3 rows, id 7    |
       | w k1 A 3 7       | w k1 B         | key_reused      |
--- a/chivescale/session/tests/steps/confirmation_steps.py
+++ b/chivescale/session/tests/steps/confirmation_steps.py
@@ -1,6 +1,6 @@
-"""Steps for confirmations."""
+"""Steps for confirmations.feature."""
 
-from barrier_steps import status_of
+from barrier_steps import make_status
 from behave import given, then, when
 
 from chivescale.messages import Position, ServiceRecord, TermStart
@@ -21,82 +21,84 @@
 OUTCOMES = {Confirmed: "confirmed", ProvedAbsent: "absent", Unknown: "unknown"}
 
 
-def record_of(term, primary, voters):
+def make_record(term, primary, voters):
     names = tuple(voters.split(", "))
-    ones = ("1",) * len(names)
-    return ServiceRecord("ledger", 3, term, term, primary, names, ones)
+    incarnations = ("1",) * len(names)
+    return ServiceRecord("ledger", 3, term, term, primary, names, incarnations)
 
 
-def apply(context, event):
+def process_event(context, event):
     context.effects += context.confirmations.step(event, context.now)
 
 
 @given("term {term:d} with primary {primary} and voters {voters}")
-def begin_term(context, term, primary, voters):
-    record = record_of(term, primary, voters)
+def create_confirmations(context, term, primary, voters):
+    record = make_record(term, primary, voters)
     context.confirmations = Confirmations(record)
     context.now = 50.0
     context.effects = []
     context.writes = 0
 
 
-@when("write {place} waits and the positions {positions} arrive")
-def wait(context, place, positions):
-    term, position = place.split(".")
+@when("write {write} is pending and the positions {positions} arrive")
+def add_write(context, write, positions):
+    term, position = write.split(".")
     context.writes += 1
-    wanted = Position(int(term), int(position))
-    apply(context, Wait(context.writes, wanted, context.now + 5.0))
-    positions_arrive(context, positions)
+    target = Position(int(term), int(position))
+    process_event(context, Wait(context.writes, target, context.now + 5.0))
+    receive_positions(context, positions)
 
 
 @when("the positions {positions} arrive")
-def positions_arrive(context, positions):
+def receive_positions(context, positions):
     for part in positions.replace("-", "").split():
         name, *fields = part.split(":")
-        apply(context, PositionReceived(name, status_of(name, *fields)))
+        process_event(
+            context, PositionReceived(name, make_status(name, *fields))
+        )
 
 
 @when("term {term:d} is established with primary {primary} and voters {names}")
-def establish(context, term, primary, names):
-    apply(context, TermEstablished(record_of(term, primary, names)))
+def establish_term(context, term, primary, names):
+    process_event(context, TermEstablished(make_record(term, primary, names)))
 
 
-@when("{name} at {place} reports the terms {starts}")
-def report(context, name, place, starts):
+@when("{name} at {position} reports the terms {starts}")
+def report_history(context, name, position, starts):
     pairs = (each.split(":") for each in starts.split())
-    found = tuple(TermStart(int(term), int(at)) for term, at in pairs)
-    status = status_of(name, 4, place, "1", found)
-    apply(context, HistoryReceived(name, status))
+    term_starts = tuple(TermStart(int(term), int(at)) for term, at in pairs)
+    status = make_status(name, 4, position, "1", term_starts)
+    process_event(context, HistoryReceived(name, status))
 
 
 @when("the deadline of the write passes")
-def deadline_passes(context):
+def pass_deadline(context):
     context.now += 5.0
-    apply(context, Tick())
+    process_event(context, Tick())
 
 
 @then("the write is {outcome}")
-def write_is(context, outcome):
-    found = [
+def check_outcome(context, outcome):
+    actual = [
         OUTCOMES[type(effect)]
         for effect in context.effects
         if type(effect) in OUTCOMES
     ]
-    assert found == ([] if outcome == "open" else [outcome]), found
+    assert actual == ([] if outcome == "pending" else [outcome]), actual
 
 
-@then("{name} is asked for its history")
-def history_asked(context, name):
-    asked = [e.endpoint for e in context.effects if type(e) is AskHistory]
-    assert asked == [name], asked
+@then("the history of {name} is requested")
+def check_history_requested(context, name):
+    requested = [e.endpoint for e in context.effects if type(e) is AskHistory]
+    assert requested == [name], requested
 
 
-@then("b and c were asked once for 2.10")
-def asked_once(context):
-    asked = [e for e in context.effects if type(e) is AskPositions]
-    assert asked == [AskPositions(("b", "c"), Position(2, 10))], asked
+@then("b and c were polled once for 2.10")
+def check_polled_once(context):
+    requested = [e for e in context.effects if type(e) is AskPositions]
+    assert requested == [AskPositions(("b", "c"), Position(2, 10))], requested
 
 
-@then("b is asked for 2.12")
-def asked_next(context):
+@then("b is polled for 2.12")
+def check_next_poll(context):
     assert context.effects[-1] == AskPositions(("b",), Position(2, 12))
--- a/chivescale/session/tests/steps/random_steps.py
+++ b/chivescale/session/tests/steps/random_steps.py
@@ -1,4 +1,4 @@
-"""Steps for random runs."""
+"""Steps for random.feature."""
 
 import collections
 
@@ -19,14 +19,14 @@
             raise AssertionError(f"seed {number}: {err}") from err
 
 
-@then("all of these happened: {events}")
-def happened(context, events):
-    absent = [name for name in events.split() if not context.counts[name]]
-    assert not absent, (absent, context.counts)
+@then("each of these events occurred: {events}")
+def check_events(context, events):
+    missing = [name for name in events.split() if not context.counts[name]]
+    assert not missing, (missing, context.counts)
 
 
-@then("no drawn seed violates consistency")
-def drawn_seeds(context):
+@then("no generated seed violates consistency")
+def check_generated_seeds(context):
     @hypothesis.settings(
         derandomize=True, max_examples=40, deadline=None, database=None
     )
--- a/chivescale/session/tests/steps/session_steps.py
+++ b/chivescale/session/tests/steps/session_steps.py
@@ -1,10 +1,10 @@
-"""Steps for tokens, session positions, freshness and keys."""
+"""Steps for session.feature."""
 
 import sqlite3
 
 import hypothesis
 import hypothesis.strategies as st
-from barrier_steps import status_of
+from barrier_steps import make_status
 from behave import given, then, when
 
 from chivescale.errors import is_failure
@@ -21,28 +21,28 @@
 )
 
 
-def place_of(text):
+def parse_position(text):
     term, position = text.split(".")
     return Position(int(term), int(position))
 
 
-@when("the token text {text} is read for service ledger")
-def read_token(context, text):
+@when("the token text {text} is parsed for service ledger")
+def parse_token_text(context, text):
     other = format_token(Token("atelier", Position(1, 1)))
     text = {"LONG": "c" * 300, "OTHER": other}.get(text, text)
     context.result = parse_token(text, "ledger")
 
 
 @then("the result is {result}")
-def token_result(context, result):
+def check_token(context, result):
     if is_failure(context.result):
         assert result in context.result.reason, context.result
     else:
-        assert context.result == Token("ledger", place_of(result))
+        assert context.result == Token("ledger", parse_position(result))
 
 
-@then("tokens of drawn names and positions are read back")
-def tokens_read_back(context):
+@then("tokens with random names and positions are parsed back unchanged")
+def check_round_trip(context):
     numbers = st.integers(0, 2**63 - 1)
     names = st.text("abc.%25E-_ü", min_size=1, max_size=20)
 
@@ -56,16 +56,16 @@
 
 
 @given("a connection with scope {scope}")
-def connection(context, scope):
+def create_connection(context, scope):
     context.session = SessionPosition("ledger", scope)
 
 
-@when("these happen: {events}")
-def happen(context, events):
+@when("these events are recorded: {events}")
+def record_events(context, events):
     session = context.session
     for event in events.replace("-", "").split():
-        kind, place = event.split(":")
-        position = place_of(place)
+        kind, position_text = event.split(":")
+        position = parse_position(position_text)
         if kind == "write":
             session.write_confirmed(position)
         elif kind == "barrier":
@@ -75,14 +75,14 @@
 
 
 @then("a barrier is needed: {needed}, and reads must include {position}")
-def barrier_needed(context, needed, position):
-    expected = None if position == "none" else place_of(position)
+def check_barrier_needed(context, needed, position):
+    expected = None if position == "none" else parse_position(position)
     assert context.session.needs_barrier() == (needed == "yes")
     assert context.session.required() == expected
 
 
-@given("term {term:d} with primary a is published to a freshness record")
-def freshness(context, term):
+@given("a freshness object with term {term:d} and primary a")
+def create_freshness(context, term):
     record = ServiceRecord(
         "ledger", 3, term, term, "a", ("a", "b", "c"), ("1", "1", "1"), 1
     )
@@ -90,23 +90,23 @@
     context.freshness.term_changed(record)
 
 
-@when("these answers and samples are noted: {facts}")
-def note(context, facts):
-    for fact in facts.split():
-        late = fact.startswith("late:")
-        name, rest = fact.removeprefix("late:").split("@")
+@when("these answers and samples are recorded: {records}")
+def record_answers(context, records):
+    for record in records.split():
+        late = record.startswith("late:")
+        name, rest = record.removeprefix("late:").split("@")
         at, value = rest.split("=")
         at = float(at)
         if name == "sample":
-            context.freshness.add_sample(at, place_of(value), 2)
+            context.freshness.add_sample(at, parse_position(value), 2)
             continue
-        status = status_of(name, *value.split(":"))
+        status = make_status(name, *value.split(":"))
         received = at + 5.0 if late else at + 0.1
         context.freshness.record_status(name, status, at, received)
 
 
-@then("at 10 s the age of {endpoint} is {age}")
-def age_is(context, endpoint, age):
+@then("at 10 s the proven age of {endpoint} is {age}")
+def check_age(context, endpoint, age):
     found = context.freshness.proven_age_s(endpoint, 10.0)
     assert found == (None if age == "none" else float(age)), found
     within = context.freshness.endpoints_within(100.0, None, 10.0)
@@ -114,64 +114,64 @@
 
 
 @then("{endpoint} holds {position}: {holds}")
-def holds_position(context, endpoint, position, holds):
-    found = context.freshness.holds(endpoint, place_of(position))
+def check_holds(context, endpoint, position, holds):
+    found = context.freshness.holds(endpoint, parse_position(position))
     assert found == (holds == "yes")
 
 
-@when("10000 samples are noted in 10 s")
-def many_samples(context):
+@when("10000 samples are recorded in 10 s")
+def add_samples(context):
     for number in range(10000):
         position = Position(2, number + 1)
         context.freshness.add_sample(number / 1000, position, 2)
 
 
 @then("at most 512 samples are kept")
-def samples_bounded(context):
+def check_sample_count(context):
     assert len(context.freshness.sent_at) <= 512
     assert len(context.freshness.positions) == len(context.freshness.sent_at)
 
 
 @then("a replica 4 s behind has a proven age under 4.5 s")
-def lagging_age(context):
-    status = status_of("b", 2, "2.6000")
+def check_lagging_age(context):
+    status = make_status("b", 2, "2.6000")
     context.freshness.record_status("b", status, 10.0, 10.0)
     age = context.freshness.proven_age_s("b", 10.0)
     assert 4.0 <= age < 4.5, age
 
 
-def key_of(text):
+def parse_key(text):
     workspace, key, statement = text.split()[:3]
     return StatementKey(workspace, key, statement_digest(statement))
 
 
 @given("a table of requests with a stored request {stored}")
-def stored_request(context, stored):
+def store_request(context, stored):
     context.database = sqlite3.connect(":memory:")
     context.database.execute(CREATE_REQUEST_TABLE)
     if stored == "-":
         return
-    context.database.execute(key_of(stored).insert_sql())
+    context.database.execute(parse_key(stored).insert_sql())
     result = stored.split()[3:]
     if result:
-        sql = key_of(stored).update_sql(*map(int, result))
+        sql = parse_key(stored).update_sql(*map(int, result))
         assert context.database.execute(sql).rowcount == 1
 
 
 @when("the request {request} is looked up")
 def look_up(context, request):
-    key = key_of(request)
+    key = parse_key(request)
     row = context.database.execute(key.select_sql()).fetchone()
-    context.meaning = key.interpret(row)
+    context.key_result = key.interpret(row)
 
 
-@then("the key says {meaning}")
-def key_says(context, meaning):
-    found = context.meaning
-    if found is None:
+@then("the result of the key is {result}")
+def check_key_result(context, result):
+    outcome = context.key_result
+    if outcome is None:
         text = "none"
-    elif is_failure(found):
-        text = found.kind.value
+    elif is_failure(outcome):
+        text = outcome.kind.value
     else:
-        text = f"{found.affected_rows} rows, id {found.last_insert_id}"
-    assert text == meaning, text
+        text = f"{outcome.affected_rows} rows, id {outcome.last_insert_id}"
+    assert text == result, text
