--- a/chivescale/membership/__init__.py
+++ b/chivescale/membership/__init__.py
@@ -1,10 +1,10 @@
-"""Membership on the control leader; opens no sockets."""
+"""Membership tables of the control leader; performs no I/O."""
 
 from chivescale.membership._endpoints import (
     EndpointAnnounced,
     EndpointsApplied,
     EndpointTable,
-    record_of,
+    endpoint_record,
 )
 from chivescale.membership._hosts import (
     HostHeartbeat,
@@ -24,6 +24,6 @@
     "HostsApplied",
     "ProposeBatch",
     "Tick",
-    "record_of",
+    "endpoint_record",
     "watchers_of",
 ]
--- a/chivescale/membership/_endpoints.py
+++ b/chivescale/membership/_endpoints.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from chivescale.membership._hosts import (
-    BATCH_S,
-    MAX_BATCH,
+    BATCH_INTERVAL_S,
+    MAX_BATCH_COMMANDS,
     ProposeBatch,
 )
 from chivescale.messages import (
@@ -16,34 +16,35 @@
     ServiceRecord,
 )
 
-# Ten announcements; voters stay, since their return is expected.
+# Ten announcement intervals of 1 s. Voters are never removed, because they
+# are expected to return.
 FORGET_AFTER_S = 10.0
 
-# An announcement is relayed within a second or lost. Longer after a change
-# of address or incarnation, an earlier one is a real return.
-RETIRED_S = 5.0
+# Period after a change of address or incarnation in which announcements with
+# the former ones are ignored as stale. A relayed announcement arrives within
+# 1 s or not at all, so a later one means that the endpoint has returned.
+STALE_ANNOUNCEMENT_S = 5.0
 
-# Every endpoint is looked at this often for being forgotten. An announcement
-# is looked at alone: looking at all endpoints for each took 98 ms with
-# 24,000 endpoints.
-SCAN_S = 1.0
+# Interval of the scan of all endpoints for expired announcements. Scanning on
+# every announcement took 98 ms per announcement with 24,000 endpoints.
+SCAN_INTERVAL_S = 1.0
 
 
 class EndpointAnnounced(msgspec.Struct, frozen=True):
-    """An announcement arrived, possibly late."""
+    """Event: an announcement was received, possibly delayed."""
 
     status: EndpointStatus
 
 
 class EndpointsApplied(msgspec.Struct, frozen=True):
-    """Endpoints and services of the applied state, on every change."""
+    """Event: the endpoints or services in the applied state changed."""
 
     endpoints: tuple[EndpointRecord, ...]
     services: tuple[ServiceRecord, ...]
 
 
-def record_of(status: EndpointStatus) -> EndpointRecord:
-    """Return the record that an announcement asks for."""
+def endpoint_record(status: EndpointStatus) -> EndpointRecord:
+    """Return the endpoint record that an announcement describes."""
     return EndpointRecord(
         status.endpoint,
         status.service,
@@ -58,22 +59,25 @@
 
 
 class EndpointTable:
-    """Turns announcements into commands; unchanged ones make none.
+    """Proposes updates to the applied state from endpoint announcements.
+
+    An announcement that matches the applied state produces no command.
 
     Parameters
     ----------
     now : float
-        Start of this leadership, monotonic seconds.
+        Start of this leadership, in monotonic seconds.
     """
 
     def __init__(self, now: float):
-        self.since = now
+        self.started_at = now
         self.applied: dict[str, EndpointRecord] = {}
         self.voters: set[str] = set()
         self.heard_at: dict[str, float] = {}
-        self.wanted: dict[str, EndpointRecord] = {}
-        # Identity that an endpoint gave up, and when.
-        self.retired: dict[tuple[str, ...], float] = {}
+        self.desired: dict[str, EndpointRecord] = {}
+        # Former identity of an endpoint and the time until which
+        # announcements with it are ignored.
+        self.superseded_until: dict[tuple[str, ...], float] = {}
         self.proposed: dict[str, tuple[msgspec.Struct, float]] = {}
         # Endpoints that may differ from the applied state.
         self.pending: set[str] = set()
@@ -81,19 +85,19 @@
         self.next_scan_at = now
 
     def step(self, event: object, now: float) -> list[ProposeBatch]:
-        """Apply one event and return what to commit."""
+        """Process one event and return the batches to propose."""
         if isinstance(event, EndpointAnnounced):
             self._announced(event.status, now)
         elif isinstance(event, EndpointsApplied):
-            self._applied(event)
+            self._on_applied(event)
         return self._batch(now)
 
     def is_stale(self, status: EndpointStatus, now: float) -> bool:
-        """Tell whether an announcement is older than what is known."""
-        until = self.retired.get(_identity(record_of(status)))
+        """Return whether an announcement has a superseded identity."""
+        until = self.superseded_until.get(_identity(endpoint_record(status)))
         return until is not None and now < until
 
-    def _applied(self, event: EndpointsApplied) -> None:
+    def _on_applied(self, event: EndpointsApplied) -> None:
         self.applied = {record.endpoint: record for record in event.endpoints}
         self.voters = {
             name for record in event.services for name in record.voters
@@ -101,16 +105,16 @@
         self.proposed = {
             name: entry
             for name, entry in self.proposed.items()
-            if self._open(entry[0])
+            if self._is_outstanding(entry[0])
         }
         self.pending |= {
             name
-            for name, record in self.wanted.items()
+            for name, record in self.desired.items()
             if self.applied.get(name) != record
         }
 
-    def _open(self, command: msgspec.Struct) -> bool:
-        """Tell whether a proposed command has no effect yet."""
+    def _is_outstanding(self, command: msgspec.Struct) -> bool:
+        """Return whether a proposed command has not been applied yet."""
         if isinstance(command, RegisterEndpoint):
             record = command.record
             return self.applied.get(record.endpoint) != record
@@ -120,97 +124,109 @@
         return applied is not None and not applied.leaving
 
     def _announced(self, status: EndpointStatus, now: float) -> None:
-        record = record_of(status)
+        record = endpoint_record(status)
         name = record.endpoint
         if self.is_stale(status, now):
             return
-        current = self.wanted.get(name) or self.applied.get(name)
+        current = self.desired.get(name) or self.applied.get(name)
         if current and _identity(current) != _identity(record):
-            self.retired[_identity(current)] = now + RETIRED_S
-            self.retired.pop(_identity(record), None)
+            self.superseded_until[_identity(current)] = (
+                now + STALE_ANNOUNCEMENT_S
+            )
+            self.superseded_until.pop(_identity(record), None)
         if current and current.incarnation == record.incarnation:
             leaving = current.leaving or record.leaving
             record = msgspec.structs.replace(record, leaving=leaving)
-        self.wanted[name] = record
+        self.desired[name] = record
         self.heard_at[name] = now
         if self.applied.get(name) != record:
             self.pending.add(name)
 
-    def heard(self, name: str) -> float:
-        """Return when the endpoint was last heard of."""
-        return max(self.heard_at.get(name, self.since), self.since)
+    def last_contact(self, name: str) -> float:
+        """Return the time of the last announcement of an endpoint.
+
+        This is at least the start of the leadership.
+        """
+        return max(self.heard_at.get(name, self.started_at), self.started_at)
 
     def _batch(self, now: float) -> list[ProposeBatch]:
         if now < self.next_batch_at:
             return []
         if not self.pending and now < self.next_scan_at:
             return []
-        commands = self._changes(now)
+        commands = self._collect_commands(now)
         if commands or self.pending:
-            # Also without a command: endpoints whose proposal is not applied
-            # yet would otherwise be looked at again for every message.
-            self.next_batch_at = now + BATCH_S
+            # Also delays the next batch if no command was due; otherwise
+            # endpoints with an unapplied proposal would be checked again on
+            # every message.
+            self.next_batch_at = now + BATCH_INTERVAL_S
         return [ProposeBatch(tuple(commands))] if commands else []
 
-    def _changes(self, now: float) -> list[msgspec.Struct]:
+    def _collect_commands(self, now: float) -> list[msgspec.Struct]:
         if now >= self.next_scan_at:
-            self.next_scan_at = now + SCAN_S
-            self._expire_retired(now)
-            self.pending |= self._silent(now)
+            self.next_scan_at = now + SCAN_INTERVAL_S
+            self._drop_superseded(now)
+            self.pending |= self._expired_endpoints(now)
         commands: list[msgspec.Struct] = []
         for name in sorted(self.pending):
-            if len(commands) >= MAX_BATCH:
+            if len(commands) >= MAX_BATCH_COMMANDS:
                 break
-            command = self._change(name, now)
+            command = self._command_for(name, now)
             if command is None:
                 self.pending.discard(name)
-            elif self._due(name, command, now):
+            elif self._should_propose(name, command, now):
                 commands.append(command)
         return commands
 
-    def _expire_retired(self, now: float) -> None:
-        for key, until in list(self.retired.items()):
+    def _drop_superseded(self, now: float) -> None:
+        for key, until in list(self.superseded_until.items()):
             if now >= until:
-                del self.retired[key]
+                del self.superseded_until[key]
 
-    def _silent(self, now: float) -> set[str]:
-        """Return the endpoints not heard of for too long."""
-        latest = now - FORGET_AFTER_S
-        if self.since >= latest:
+    def _expired_endpoints(self, now: float) -> set[str]:
+        """Return the endpoints whose last announcement has expired."""
+        oldest_allowed = now - FORGET_AFTER_S
+        if self.started_at >= oldest_allowed:
             return set()
         heard_at = self.heard_at
         return {
             name
-            for name in self.applied.keys() | self.wanted.keys()
-            if heard_at.get(name, self.since) < latest
+            for name in self.applied.keys() | self.desired.keys()
+            if heard_at.get(name, self.started_at) < oldest_allowed
         }
 
-    def _change(self, name: str, now: float) -> msgspec.Struct | None:
-        wanted, applied = self.wanted.get(name), self.applied.get(name)
-        if now - self.heard(name) > FORGET_AFTER_S:
-            self.wanted.pop(name, None)
+    def _command_for(self, name: str, now: float) -> msgspec.Struct | None:
+        desired, applied = self.desired.get(name), self.applied.get(name)
+        if now - self.last_contact(name) > FORGET_AFTER_S:
+            self.desired.pop(name, None)
             if applied is None:
                 self.heard_at.pop(name, None)
                 return None
             if name in self.voters:
                 return None
             return RemoveEndpoint(name, applied.incarnation)
-        if wanted is None or wanted == applied:
+        if desired is None or desired == applied:
             return None
-        if applied and applied.incarnation == wanted.incarnation:
-            if applied.leaving and not wanted.leaving:
-                # Leaving is final for an incarnation, also when an earlier
-                # leader or an operator recorded it.
-                wanted = msgspec.structs.replace(wanted, leaving=True)
-                self.wanted[name] = wanted
-                if wanted == applied:
+        if applied and applied.incarnation == desired.incarnation:
+            if applied.leaving and not desired.leaving:
+                # Leaving is final for an incarnation, even if it was
+                # recorded by a previous leader or an operator.
+                desired = msgspec.structs.replace(desired, leaving=True)
+                self.desired[name] = desired
+                if desired == applied:
                     return None
-            if msgspec.structs.replace(applied, leaving=True) == wanted:
+            if msgspec.structs.replace(applied, leaving=True) == desired:
                 return LeaveEndpoint(name, applied.incarnation)
-        return RegisterEndpoint(wanted)
+        return RegisterEndpoint(desired)
+
+    def _should_propose(
+        self, name: str, command: msgspec.Struct, now: float
+    ) -> bool:
+        """Return whether to propose a command.
 
-    def _due(self, name: str, command: msgspec.Struct, now: float) -> bool:
-        """Tell whether to propose, again only if nothing came of it."""
+        The same command is proposed again only if it has not been applied
+        for 1 s.
+        """
         before = self.proposed.get(name)
         if before and before[0] == command and now - before[1] < 1.0:
             return False
--- a/chivescale/membership/_watchers.py
+++ b/chivescale/membership/_watchers.py
@@ -1,4 +1,4 @@
-"""Choice of the entry hosts that watch a service."""
+"""Selection of the entry hosts that watch a service."""
 
 import collections.abc
 import hashlib
@@ -15,25 +15,26 @@
 def watchers_of(
     service: str, hosts: collections.abc.Iterable[HostRecord], k: int
 ) -> tuple[str, ...]:
-    """Choose the watchers of a service by rendezvous hashing.
+    """Select the watchers of a service by rendezvous hashing.
 
-    Every zone's best host comes first, so that watchers stand in different
-    zones while there are enough. A host that joins or leaves changes at most
-    one watcher. Draining hosts are chosen only if no others are left.
+    The highest-ranked host of each zone is preferred, so that the watchers
+    are in different zones if there are enough zones. A host that joins or
+    leaves changes at most one watcher. Draining hosts are selected only if
+    there are too few others.
 
     Parameters
     ----------
     service : str
         Service name.
     hosts : iterable of HostRecord
-        Entry hosts of the applied state.
+        Entry hosts in the applied state.
     k : int
         Number of watchers.
 
     Returns
     -------
     tuple of str
-        Names, at most `k`, the same on every process with the same state.
+        Host names, at most `k`. Deterministic for a given set of hosts.
 
     Examples
     --------
@@ -48,11 +49,11 @@
         hosts,
         key=lambda h: (h.draining, -_weight(service, h.host), h.host),
     )
-    first: list[HostRecord] = []
-    rest: list[HostRecord] = []
-    zones: set[str] = set()
+    preferred: list[HostRecord] = []
+    others: list[HostRecord] = []
+    used_zones: set[str] = set()
     for host in ranked:
-        same_zone = host.zone in zones
-        (rest if same_zone or host.draining else first).append(host)
-        zones.add(host.zone)
-    return tuple(host.host for host in (first + rest)[:k])
+        same_zone = host.zone in used_zones
+        (others if same_zone or host.draining else preferred).append(host)
+        used_zones.add(host.zone)
+    return tuple(host.host for host in (preferred + others)[:k])
--- a/chivescale/membership/tests/steps/membership_steps.py
+++ b/chivescale/membership/tests/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps for host table, endpoint table and choice of watchers."""
+"""Steps for the host table, the endpoint table and watcher selection."""
 
 import msgspec
 from behave import given, then, when
@@ -11,7 +11,7 @@
     HostsApplied,
     HostTable,
     Tick,
-    record_of,
+    endpoint_record,
     watchers_of,
 )
 from chivescale.messages import (
@@ -43,36 +43,36 @@
 
 def apply_hosts(context, records) -> None:
     context.applied = tuple(records)
-    context.subject.step(HostsApplied(context.applied), 0.0)
+    context.member_table.step(HostsApplied(context.applied), 0.0)
 
 
 @given("a host table with the applied host h1 of incarnation 1")
 def one_host(context):
-    context.subject = HostTable(0.0)
+    context.member_table = HostTable(0.0)
     apply_hosts(context, [host_record("h1", "1")])
 
 
 @given("a host table with {count:d} applied hosts")
 def many_hosts(context, count):
-    context.subject = HostTable(0.0)
+    context.member_table = HostTable(0.0)
     apply_hosts(context, [host_record(f"h{n}", "1") for n in range(count)])
 
 
 @given("an endpoint table with the applied endpoint e1")
 def one_endpoint(context):
-    context.subject = EndpointTable(0.0)
-    context.record = record_of(endpoint_status("e1", ["1", "at", "a"]))
-    context.subject.step(EndpointsApplied((context.record,), ()), 0.0)
+    context.member_table = EndpointTable(0.0)
+    context.record = endpoint_record(endpoint_status("e1", ["1", "at", "a"]))
+    context.member_table.step(EndpointsApplied((context.record,), ()), 0.0)
 
 
-@when("there come {events}")
+@when("the table receives {events}")
 def events_arrive(context, events):
-    # Everything at once, before the table may propose again.
-    context.subject.next_batch_at = 0.1
+    # All events arrive before the next batch is due.
+    context.member_table.next_batch_at = 0.1
     for event in events.split(", "):
         if event == "no messages":
             return
-        context.effects = context.subject.step(
+        context.effects = context.member_table.step(
             parse_event(context, event), 0.0
         )
     assert not context.effects
@@ -80,7 +80,7 @@
 
 def parse_event(context, text: str):
     name, verb, *words = text.split()
-    if verb == "beats":
+    if verb == "sends":
         return HostHeartbeat(Heartbeat(host_record(name, words[1]), 0))
     if verb == "drains":
         return HostsApplied((host_record(name, "1", True),))
@@ -90,16 +90,16 @@
     return EndpointAnnounced(endpoint_status(name, words))
 
 
-@when("e1 says {words} after {seconds:d} s")
-def later_says(context, words, seconds):
+@when("e1 announces {words} after {seconds:d} s")
+def announces_later(context, words, seconds):
     status = endpoint_status("e1", words.split())
-    context.subject.step(EndpointAnnounced(status), float(seconds))
+    context.member_table.step(EndpointAnnounced(status), float(seconds))
 
 
 @then("after {seconds:g} s it proposes {commands}")
 def proposes(context, seconds, commands):
     found = []
-    for effect in context.subject.step(Tick(), seconds):
+    for effect in context.member_table.step(Tick(), seconds):
         found += [describe(command) for command in effect.commands]
     assert (", ".join(found) or "nothing") == commands, found
 
@@ -119,18 +119,20 @@
 def few_batches(context, seconds, batches, n):
     proposed = []
     for tenth in range(seconds * 10):
-        effects = context.subject.step(Tick(), tenth / 10)
+        effects = context.member_table.step(Tick(), tenth / 10)
         proposed += [effect.commands for effect in effects]
         if effects:
-            context.subject.step(HostsApplied(()), tenth / 10)
+            context.member_table.step(HostsApplied(()), tenth / 10)
     assert len(proposed) <= batches, len(proposed)
     assert sum(len(commands) for commands in proposed) == n
 
 
-@then("the wanted record of e1 is {words}")
-def wanted_record(context, words):
-    wanted = record_of(endpoint_status("e1", words.split()))
-    assert context.subject.wanted["e1"] == wanted, context.subject.wanted
+@then("the desired record of e1 is {words}")
+def desired_record(context, words):
+    desired = endpoint_record(endpoint_status("e1", words.split()))
+    assert context.member_table.desired["e1"] == desired, (
+        context.member_table.desired
+    )
 
 
 @given("{hosts:d} entry hosts in {zones:d} zones")
@@ -143,7 +145,7 @@
     ]
 
 
-@then("3 watchers of any service stand in {distinct:d} zones")
+@then("the 3 watchers of any service are in {distinct:d} zones")
 def distinct_zones(context, distinct):
     zone = {record.host: record.zone for record in context.hosts}
     for number in range(200):
--- a/chivescale/membership/tests/steps/message_cost_steps.py
+++ b/chivescale/membership/tests/steps/message_cost_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive the tables of hosts and endpoints."""
+"""Steps that count the records that the tables check per message."""
 
 import msgspec
 from behave import given, then, when
@@ -41,14 +41,14 @@
 
 
 class HostsDriver:
-    """A `HostTable` that counts how often it looks at a host."""
+    """Drives a `HostTable` that counts its liveness checks."""
 
     def __init__(self, count: int):
-        self.table = _CountingHosts(START)
+        self.table = _CountingHostTable(START)
         self.records = {f"h{n}": host(n) for n in range(count)}
-        self.show()
+        self.publish()
 
-    def show(self, now: float = START):
+    def publish(self, now: float = START):
         event = membership.HostsApplied(tuple(self.records.values()))
         return self.table.step(event, now)
 
@@ -67,25 +67,26 @@
         return command.host
 
 
-class _CountingHosts(_hosts.HostTable):
-    looked = 0
+class _CountingHostTable(_hosts.HostTable):
+    checked_records = 0
 
     def alive(self, host, now):
-        self.looked += 1
+        self.checked_records += 1
         return super().alive(host, now)
 
 
 class EndpointsDriver:
-    """An `EndpointTable` that counts how often it looks at an endpoint."""
+    """Drives an `EndpointTable` that counts its checks of endpoints."""
 
     def __init__(self, count: int):
-        self.table = _CountingEndpoints(START)
+        self.table = _CountingEndpointTable(START)
         self.records = {
-            f"e{n}": membership.record_of(status(n)) for n in range(count)
+            f"e{n}": membership.endpoint_record(status(n))
+            for n in range(count)
         }
-        self.show()
+        self.publish()
 
-    def show(self, now: float = START):
+    def publish(self, now: float = START):
         event = membership.EndpointsApplied(tuple(self.records.values()), ())
         return self.table.step(event, now)
 
@@ -108,16 +109,16 @@
         return command.endpoint
 
 
-class _CountingEndpoints(_endpoints.EndpointTable):
-    looked = 0
+class _CountingEndpointTable(_endpoints.EndpointTable):
+    checked_records = 0
 
-    def _change(self, name, now):
-        self.looked += 1
-        return super()._change(name, now)
+    def _command_for(self, name, now):
+        self.checked_records += 1
+        return super()._command_for(name, now)
 
-    def heard(self, name):
-        self.looked += 1
-        return super().heard(name)
+    def last_contact(self, name):
+        self.checked_records += 1
+        return super().last_contact(name)
 
 
 @given("a leader that knows {count:d} {kind}")
@@ -132,24 +133,28 @@
 @when("each of them sends {messages:d} unchanged messages")
 def unchanged_messages(context, messages):
     driver, now = context.driver, START
-    driver.table.looked = 0
+    driver.table.checked_records = 0
     context.sent = 0
     for _ in range(messages):
         now += 1.0
         driver.table.step(membership.Tick(), now)
-        # The tick carries the scan, so what follows is the messages' own.
-        before = driver.table.looked
+        # The tick performs the scan; the messages after it need none.
+        before = driver.table.checked_records
         for number in range(context.count):
             assert not driver.message(number, now)
         context.sent += context.count
-        context.looked = driver.table.looked - before
-        assert context.looked <= 2 * context.count, context.looked
+        context.checked_records = driver.table.checked_records - before
+        assert context.checked_records <= 2 * context.count, (
+            context.checked_records
+        )
 
 
-@then("the records looked at per message are at most {most:d}")
-def looked_at_most(context, most):
+@then("at most {most:d} records are checked per message")
+def few_records_checked(context, most):
     assert context.sent > 0
-    assert context.looked <= most * context.count, context.looked
+    assert context.checked_records <= most * context.count, (
+        context.checked_records
+    )
 
 
 @when("one of them sends a changed record between two scans")
@@ -182,8 +187,8 @@
     assert len(commands) == 2 and commands[0] == commands[1], commands
 
 
-@when("all but the first fall silent")
-def fall_silent(context):
+@when("all but the first stop sending")
+def stop_sending(context):
     context.silent = True
 
 
@@ -201,7 +206,7 @@
                 removed.append(driver.name_of(command))
                 driver.apply(command)
         if batches:
-            context.batches += driver.show(now)
+            context.batches += driver.publish(now)
     context.removed = removed
     assert len(removed) == len(set(removed)), "removed twice"
     assert len(removed) == context.count - 1, len(removed)
@@ -229,7 +234,7 @@
 @when("the leaving is committed")
 def leaving_committed(context):
     context.driver.apply(context.command)
-    assert not context.driver.show(context.now + TICK_S)
+    assert not context.driver.publish(context.now + TICK_S)
 
 
 @when("the same endpoint announces without leaving")
@@ -247,14 +252,15 @@
     driver, table = context.driver, context.driver.table
     for number in range(context.count):
         driver.message(number, START + 1.0, changed=True)
-    # The first tick proposes the rest, the second finds nothing due.
+    # The first tick proposes the remaining records; at the second one no
+    # proposal is due for a retry.
     assert table.step(membership.Tick(), START + 1.3)
     assert not table.step(membership.Tick(), START + 1.6)
-    before = table.looked
+    before = table.checked_records
     for number in range(context.count):
         assert not driver.message(number, START + 1.65, changed=True)
     context.sent = context.count
-    context.looked = table.looked - before
+    context.checked_records = table.checked_records - before
 
 
 @when("an unknown member sends one message that is never committed")
@@ -263,8 +269,8 @@
     (context.command,) = batches[0].commands
 
 
-@then("the leader keeps nothing of it after {seconds:g} s")
-def nothing_kept(context, seconds):
+@then("the leader holds no record of it after {seconds:g} s")
+def no_record_held(context, seconds):
     driver, now = context.driver, START + 1.0
     while now < START + seconds:
         now += TICK_S
@@ -272,5 +278,5 @@
             driver.message(number, now)
         driver.table.step(membership.Tick(), now)
     name = driver.name_of(context.command)
-    for kept in ("live", "wanted", "heard_at", "pending"):
+    for kept in ("live", "desired", "heard_at", "pending"):
         assert name not in getattr(driver.table, kept, ()), kept
