--- a/chivescale/agreement/__init__.py
+++ b/chivescale/agreement/__init__.py
@@ -47,9 +47,9 @@
     VoteReply,
     VoteRequest,
 )
+from chivescale.agreement._pending import Outcome
 from chivescale.agreement._replication import in_contact
 from chivescale.agreement._roster import Admit, Retire, Roster
-from chivescale.agreement._waiters import Outcome
 
 __all__ = [
     "Admit",
--- a/chivescale/agreement/_callbacks.py
+++ b/chivescale/agreement/_callbacks.py
@@ -1,4 +1,4 @@
-"""Interface between the agreement host and the owner of the state."""
+"""Callbacks from the agreement host to the replicated state."""
 
 import collections.abc
 import typing
@@ -7,19 +7,21 @@
 
 
 class Callbacks(msgspec.Struct):
-    """What the host does with the log; plain functions.
+    """Synchronous functions that connect the log to the replicated state.
 
     Attributes
     ----------
     apply : callable
-        ``(index, command) -> result`` for each committed command, in order.
+        ``(index, command) -> result``, called for each committed command in
+        log order.
     snapshot : callable
-        ``() -> bytes``: the state after the last applied command.
+        ``() -> bytes``, encodes the state after the last applied command.
     restore : callable
-        ``(bytes) -> None``: replaces the state.
+        ``(bytes) -> None``, replaces the state by an encoded one.
     leadership : callable
-        ``(leading, term) -> None``: this host began or ended to lead. It
-        begins when all commands of earlier leaders are applied.
+        ``(leading, term) -> None``, called when this host gains or loses
+        leadership. Leadership is reported only after all commands of former
+        leaders have been applied.
     """
 
     apply: collections.abc.Callable[[int, bytes], typing.Any]
--- a/chivescale/agreement/_durable.py
+++ b/chivescale/agreement/_durable.py
@@ -1,4 +1,4 @@
-"""Durable log in one data folder."""
+"""Durable storage of the log in a data folder."""
 
 import collections.abc
 import fcntl
@@ -11,7 +11,7 @@
     LOCK_NAME,
     LOG_NAME,
     SNAPSHOT_NAME,
-    Content,
+    FolderContent,
     read_folder,
 )
 from chivescale.agreement._messages import Entry, Snapshot
@@ -28,15 +28,15 @@
 class DurableLog:
     """Hard state, entries and snapshot of one member on disk.
 
-    After the first failed write every later one is refused: the content
-    of a file after a failed sync is unknown until it is read again.
+    After a failed write or sync, every later operation fails with the same
+    error, because the content of the file is unknown until it is read again.
 
     Parameters
     ----------
     folder : str or Path
-        Data folder; created if absent.
+        Data folder; created if it does not exist.
     write, fsync : callable, optional
-        System calls, replaced in tests of disk faults.
+        System calls; tests replace them to inject disk faults.
     """
 
     def __init__(
@@ -54,22 +54,22 @@
         self.file: int | None = None
 
     def open(self) -> Recovered | Failure:
-        """Lock the folder and read it; remove a torn record at the end.
+        """Lock and read the folder; truncate a torn record at the end.
 
         Returns
         -------
         recovered or Failure
-            ``STORAGE_CORRUPT`` with file and offset of the first fault
-            that is not a torn record at the end; ``STORAGE_FAILED`` if
-            another process uses the folder or the disk refuses.
+            ``STORAGE_CORRUPT`` with file and offset of the first corrupt
+            record that is not a torn record at the end; ``STORAGE_FAILED``
+            if another process holds the lock or on an I/O error.
         """
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             self._sync_folder(self.folder.parent)
-            if not self._take_lock():
-                reason = f"{self.folder}: used by another process"
-                return self._fail(ErrorKind.STORAGE_FAILED, reason)
-            content = self._read()
+            if not self._acquire_lock():
+                reason = f"{self.folder}: locked by another process"
+                return self._record_failure(ErrorKind.STORAGE_FAILED, reason)
+            content = self._read_or_create()
             if content.error is not None:
                 self.failure = content.error
                 self.close()
@@ -79,23 +79,25 @@
         except OSError as err:
             self.close()
             reason = f"{self.folder}: {err}"
-            return self._fail(ErrorKind.STORAGE_FAILED, reason)
+            return self._record_failure(ErrorKind.STORAGE_FAILED, reason)
         return content.recovered()
 
     def append(
         self, hard_state: HardState | None, entries: tuple[Entry, ...]
     ) -> Failure | None:
-        """Write one record; it counts after `sync`.
+        """Write one record; it is durable only after `sync`.
 
-        Entries replace everything stored at and above the index of the
-        first one.
+        The entries replace all stored entries from the index of the first
+        one onwards.
         """
         record = encode_record(Batch(hard_state, entries))
-        return self._guarded(lambda: self._write_all(self.file, record))
+        return self._run_unless_failed(
+            lambda: self._write_all(self.file, record)
+        )
 
     def sync(self) -> Failure | None:
-        """Make the written records durable."""
-        return self._guarded(lambda: self.fsync(self.file))
+        """Flush the written records to disk."""
+        return self._run_unless_failed(lambda: self.fsync(self.file))
 
     def snapshot(
         self,
@@ -103,44 +105,44 @@
         hard_state: HardState,
         entries: tuple[Entry, ...],
     ) -> Failure | None:
-        """Store a snapshot and shorten the log to the entries after it."""
+        """Store a snapshot and rewrite the log with the given entries."""
 
         def replace_files() -> None:
-            image = SnapshotFile(self.incarnation, snapshot)
-            self._replace(SNAPSHOT_NAME, image)
+            snapshot_file = SnapshotFile(self.incarnation, snapshot)
+            self._replace_file(SNAPSHOT_NAME, snapshot_file)
             header = LogHeader(self.incarnation, snapshot.index)
-            self._replace(LOG_NAME, header, Batch(hard_state, entries))
+            self._replace_file(LOG_NAME, header, Batch(hard_state, entries))
             os.close(self.file)
             self.file = self._open_for_append()
 
-        return self._guarded(replace_files)
+        return self._run_unless_failed(replace_files)
 
     def close(self) -> None:
-        """Close the files and release the folder."""
+        """Close the files and release the lock."""
         for name in ("file", "lock"):
             descriptor = getattr(self, name)
             if descriptor is not None:
                 os.close(descriptor)
                 setattr(self, name, None)
 
-    def _fail(self, kind: ErrorKind, reason: str) -> Failure:
+    def _record_failure(self, kind: ErrorKind, reason: str) -> Failure:
         self.failure = Failure(kind, reason)
         return self.failure
 
-    def _guarded(self, action) -> Failure | None:
+    def _run_unless_failed(self, action) -> Failure | None:
         if self.failure is not None:
             return self.failure
         if self.file is None:
-            reason = f"{self.folder}: not open"
+            reason = f"{self.folder}: log is not open"
             return Failure(ErrorKind.STORAGE_FAILED, reason)
         try:
             action()
         except OSError as err:
             reason = f"{self.folder}: {err}"
-            return self._fail(ErrorKind.STORAGE_FAILED, reason)
+            return self._record_failure(ErrorKind.STORAGE_FAILED, reason)
         return None
 
-    def _take_lock(self) -> bool:
+    def _acquire_lock(self) -> bool:
         path = self.folder / LOCK_NAME
         self.lock = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
         try:
@@ -150,22 +152,23 @@
             return False
         return True
 
-    def _read(self) -> Content:
+    def _read_or_create(self) -> FolderContent:
         for path in self.folder.glob("agreement.*.tmp"):
             path.unlink()
         content = read_folder(self.folder)
         if content.exists or content.error is not None:
             return content
-        # The log holds the incarnation, so both are lost together.
+        # The incarnation is stored in the log file, so a folder that lost its
+        # log always gets a new incarnation.
         header = LogHeader(uuid.uuid4().hex, 0)
-        self._replace(LOG_NAME, header)
+        self._replace_file(LOG_NAME, header)
         return read_folder(self.folder)
 
-    def _open_file(self, content: Content) -> None:
+    def _open_file(self, content: FolderContent) -> None:
         self.file = self._open_for_append()
         if content.torn_bytes:
             os.ftruncate(self.file, content.log_end)
-        # Records that an earlier process wrote may not have been synced.
+        # Records written by a former process may not have been synced.
         self.fsync(self.file)
 
     def _open_for_append(self) -> int:
@@ -177,8 +180,8 @@
         while view:
             view = view[self.write(descriptor, view) :]
 
-    def _replace(self, name: str, *records: Record) -> None:
-        """Write a file beside the old one, then rename it."""
+    def _replace_file(self, name: str, *records: Record) -> None:
+        """Replace a file atomically: write a temporary file and rename it."""
         temporary = self.folder / f"{name}.tmp"
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
         descriptor = os.open(temporary, flags, 0o600)
--- a/chivescale/agreement/_election.py
+++ b/chivescale/agreement/_election.py
@@ -1,14 +1,15 @@
-"""Election of a leader and formation of the group.
-
-A candidate first asks whether it would be elected (pre-vote) without
-changing any term, so that a member that was cut off cannot depose a leader
-when it returns.
-
-Before the group is formed no member knows the incarnations of the others.
-The first candidate learns them with the pre-vote and needs the vote of every
-initial member, each bound to its incarnation. Its first log entry is the
-configuration with these incarnations. No second group can form afterwards:
-it would need the vote of a member that already holds this entry.
+"""Leader election with pre-vote, and initial formation of the group.
+
+Before an election, a candidate runs a pre-vote that changes no term. A member
+that returns from a network partition therefore cannot depose the leader by
+raising the term.
+
+Until the group is formed, no member knows the incarnations of the others. The
+first candidate learns them from the pre-vote replies and needs the vote of
+every initial member, each for its current incarnation. Its first log entry is
+the configuration with these incarnations. A second group cannot form after
+that, because it would need the vote of a member that already stores this
+entry.
 """
 
 import msgspec
@@ -22,106 +23,112 @@
     VoteRequest,
 )
 
-# Random range of the election timeout, as multiples of the setting. The
-# lower bound leaves the other members time to miss the leader too, since
-# they refuse a pre-vote until then. The upper bound keeps the time from the
-# loss of a leader to the next one under 400 ms with the default settings.
-TIMEOUT_FROM = 1.1
-TIMEOUT_TO = 1.45
-# An unsuccessful attempt is repeated after this many heartbeats. Pre-votes
-# disturb nobody, so this can be short.
-RETRY_FROM = 1.0
-RETRY_TO = 3.0
+# Range of the randomized election timeout, as multiples of the setting. The
+# lower bound gives the other members time to detect the loss of the leader,
+# since they reject pre-votes until then. The upper bound keeps the time from
+# the loss of a leader to the election of the next one below 400 ms with the
+# default settings.
+ELECTION_TIMEOUT_MIN_FACTOR = 1.1
+ELECTION_TIMEOUT_MAX_FACTOR = 1.45
+# Range of the randomized delay before an unsuccessful attempt is repeated, in
+# heartbeat intervals. It can be short, because a pre-vote does not disturb a
+# working leader.
+RETRY_MIN_HEARTBEATS = 1.0
+RETRY_MAX_HEARTBEATS = 3.0
 
 
 class Election(msgspec.Struct):
-    """Progress of an own candidacy and the last promise of a pre-vote.
+    """Votes for this member and the last pre-vote that it granted.
 
     Attributes
     ----------
-    granted : dict of str to Member
-        Members that would vote or voted for this one.
-    promised_to : str
-        Candidate whose pre-vote was granted last.
-    promised_until : float
-        Until when pre-votes of others are refused.
+    votes : dict of str to Member
+        Members that granted their vote or pre-vote, by name.
+    pre_vote_granted_to : str
+        Candidate that was last granted a pre-vote.
+    pre_vote_granted_until : float
+        Time until which pre-votes of other candidates are rejected.
     forming : Configuration or None
-        First configuration that this candidate would write.
+        Initial configuration that this candidate proposes.
     """
 
-    granted: dict[str, Member] = msgspec.field(default_factory=dict)
-    promised_to: str = ""
-    promised_until: float = 0.0
+    votes: dict[str, Member] = msgspec.field(default_factory=dict)
+    pre_vote_granted_to: str = ""
+    pre_vote_granted_until: float = 0.0
     forming: Configuration | None = None
 
 
-def reset_timer(machine, now: float) -> None:
-    """Draw the time at which to miss the leader."""
+def reset_election_timer(machine, now: float) -> None:
+    """Restart the randomized election timeout."""
     base = machine.timing.election_timeout_s
-    factor = machine.rng.uniform(TIMEOUT_FROM, TIMEOUT_TO)
+    factor = machine.rng.uniform(
+        ELECTION_TIMEOUT_MIN_FACTOR, ELECTION_TIMEOUT_MAX_FACTOR
+    )
     machine.election_due = now + base * factor
-    machine.deferred = False
+    machine.election_deferred = False
 
 
-def start_timer(machine, now: float) -> None:
-    """Draw the time of the first attempt after a start.
+def start_election_timer(machine, now: float) -> None:
+    """Schedule the first election attempt after a start.
 
-    All members may have been stopped together, and then nobody leads. A
-    leader that lives is heard within a heartbeat, and the others refuse a
-    pre-vote while they hear one.
+    A member of a formed group tries early, since all members may have been
+    stopped together. A working leader sends a message within one heartbeat
+    interval, and the other members reject pre-votes while they have one.
     """
     if machine.formed:
-        retry_timer(machine, now)
+        schedule_retry(machine, now)
     else:
-        reset_timer(machine, now)
+        reset_election_timer(machine, now)
 
 
-def retry_timer(machine, now: float) -> None:
-    """Draw the time of the next attempt."""
+def schedule_retry(machine, now: float) -> None:
+    """Schedule the next election attempt."""
     base = machine.timing.heartbeat_s
-    factor = machine.rng.uniform(RETRY_FROM, RETRY_TO)
+    factor = machine.rng.uniform(RETRY_MIN_HEARTBEATS, RETRY_MAX_HEARTBEATS)
     machine.election_due = now + base * factor
-    machine.deferred = False
+    machine.election_deferred = False
 
 
-def hears_leader(machine, now: float) -> bool:
-    """Tell whether a leader was heard within the election timeout."""
+def has_leader_contact(machine, now: float) -> bool:
+    """Return whether a leader was in contact within the election timeout."""
     if machine.role is Role.LEADER:
         return True
-    if machine.leader is None or machine.leader_contact is None:
+    if machine.leader is None or machine.leader_contact_at is None:
         return False
-    age = now - machine.leader_contact
+    age = now - machine.leader_contact_at
     return age < machine.timing.election_timeout_s
 
 
-def _may_stand(machine) -> bool:
+def _can_campaign(machine) -> bool:
     if not machine.formed:
         return True
-    own = machine.own_member
-    return own is not None and own.voter
+    own_entry = machine.own_member
+    return own_entry is not None and own_entry.voter
 
 
-def begin_prevote(machine, now: float) -> None:
-    """Ask the others whether they would vote for this member."""
+def start_pre_vote(machine, now: float) -> None:
+    """Start a pre-vote among the voters."""
     if machine.formed:
-        retry_timer(machine, now)
+        schedule_retry(machine, now)
     else:
-        # A member that waits for admission asks at a lower rate.
-        reset_timer(machine, now)
-    if not _may_stand(machine):
+        # Members outside a formed group retry at a lower rate.
+        reset_election_timer(machine, now)
+    if not _can_campaign(machine):
         return
     machine.role = Role.PRE_CANDIDATE
     machine.leader = None
-    _promise(machine, machine.name, now)
-    _ask(machine, True, machine.term + 1, None)
-    _count(machine, now)
+    _record_pre_vote(machine, machine.name, now)
+    _request_votes(machine, True, machine.term + 1, None)
+    _advance_if_won(machine, now)
 
 
-def _ask(machine, pre: bool, term: int, forming: Configuration | None):
-    me = Member(machine.name, "", machine.incarnation)
-    machine.election.granted = {machine.name: me}
+def _request_votes(
+    machine, pre: bool, term: int, forming: Configuration | None
+):
+    own_member = Member(machine.name, "", machine.incarnation)
+    machine.election.votes = {machine.name: own_member}
     configuration = forming or machine.configuration
-    own = configuration.find(machine.name)
+    own_entry = configuration.find(machine.name)
     for member in configuration.voters:
         if member.name == machine.name:
             continue
@@ -132,7 +139,7 @@
             vote_term=term,
             last_index=machine.log.last_index,
             last_term=machine.log.last_term,
-            address=own.address if own else machine.address,
+            address=own_entry.address if own_entry else machine.address,
             unformed=not machine.formed,
             forming=forming,
         )
@@ -140,13 +147,13 @@
 
 
 def on_vote_request(machine, request: VoteRequest, now: float) -> None:
-    """Answer a request for a vote or a pre-vote."""
+    """Handle a vote or pre-vote request."""
     header = request.header
-    _note_seen(machine, request)
+    _record_unknown_incarnation(machine, request)
     if request.pre:
-        granted = _grants_prevote(machine, request, now)
+        granted = _grants_pre_vote(machine, request, now)
         if granted:
-            _promise(machine, header.sender, now)
+            _record_pre_vote(machine, header.sender, now)
     else:
         granted = _grants_vote(machine, request, now)
     reply = VoteReply(
@@ -156,16 +163,16 @@
         granted=granted,
         unformed=not machine.formed,
     )
-    machine.send(_address_of(machine, request), reply)
+    machine.send(_reply_address(machine, request), reply)
 
 
-def _address_of(machine, request: VoteRequest) -> str:
+def _reply_address(machine, request: VoteRequest) -> str:
     known = machine.configuration.find(request.header.sender)
     return request.address or (known.address if known else "")
 
 
-def _note_seen(machine, request: VoteRequest) -> None:
-    """Remember a new incarnation, which a replacement can admit."""
+def _record_unknown_incarnation(machine, request: VoteRequest) -> None:
+    """Record a sender that is not a member, so that it can be admitted."""
     header = request.header
     if not machine.formed:
         return
@@ -176,13 +183,13 @@
     )
 
 
-def _log_is_current(machine, request: VoteRequest) -> bool:
-    theirs = (request.last_term, request.last_index)
-    return theirs >= (machine.log.last_term, machine.log.last_index)
+def _log_is_up_to_date(machine, request: VoteRequest) -> bool:
+    candidate_log = (request.last_term, request.last_index)
+    return candidate_log >= (machine.log.last_term, machine.log.last_index)
 
 
-def _same_stage(machine, request: VoteRequest) -> bool:
-    """Tell whether the request fits the formation of the group."""
+def _formation_allowed(machine, request: VoteRequest) -> bool:
+    """Return whether the request is valid in the current formation state."""
     if not request.unformed:
         return True
     if machine.formed or not machine.may_form:
@@ -196,59 +203,63 @@
         return False
     names = {member.name for member in forming.members}
     expected = {member.name for member in machine.initial.members}
-    bound = forming.find(machine.name, machine.incarnation)
-    return names == expected and bound is not None
+    own_entry = forming.find(machine.name, machine.incarnation)
+    return names == expected and own_entry is not None
 
 
-def _promise(machine, candidate: str, now: float) -> None:
-    machine.election.promised_to = candidate
-    machine.election.promised_until = now + machine.timing.heartbeat_s
+def _record_pre_vote(machine, candidate: str, now: float) -> None:
+    machine.election.pre_vote_granted_to = candidate
+    machine.election.pre_vote_granted_until = now + machine.timing.heartbeat_s
 
 
-def _prefers_other(machine, candidate: str, now: float) -> bool:
-    """Tell whether another candidate was promised a vote just now.
+def _pre_vote_held_by_other(machine, candidate: str, now: float) -> bool:
+    """Return whether another candidate holds a recent pre-vote.
 
-    Two candidates that start within a few milliseconds would otherwise
-    split the votes. Of two candidates the lower name goes first.
+    This avoids split votes between candidates that start within a few
+    milliseconds of each other. Between two pre-candidates, the one with the
+    lower name takes precedence.
     """
     election = machine.election
-    if now >= election.promised_until or election.promised_to == candidate:
+    if (
+        now >= election.pre_vote_granted_until
+        or election.pre_vote_granted_to == candidate
+    ):
         return False
     if machine.role is Role.PRE_CANDIDATE:
         return machine.name < candidate
     return True
 
 
-def _grants_prevote(machine, request: VoteRequest, now: float) -> bool:
+def _grants_pre_vote(machine, request: VoteRequest, now: float) -> bool:
     return (
         request.vote_term > machine.term
-        and not hears_leader(machine, now)
-        and _same_stage(machine, request)
-        and _log_is_current(machine, request)
-        and not _prefers_other(machine, request.header.sender, now)
+        and not has_leader_contact(machine, now)
+        and _formation_allowed(machine, request)
+        and _log_is_up_to_date(machine, request)
+        and not _pre_vote_held_by_other(machine, request.header.sender, now)
     )
 
 
 def _grants_vote(machine, request: VoteRequest, now: float) -> bool:
     header = request.header
-    if request.vote_term < machine.term or hears_leader(machine, now):
+    if request.vote_term < machine.term or has_leader_contact(machine, now):
         return False
     if request.vote_term > machine.term:
         machine.become_follower(request.vote_term, None, now)
     candidate = f"{header.sender}/{header.sender_incarnation}"
     if machine.vote not in ("", candidate):
         return False
-    if not _same_stage(machine, request):
+    if not _formation_allowed(machine, request):
         return False
-    if not _log_is_current(machine, request):
+    if not _log_is_up_to_date(machine, request):
         return False
     machine.set_hard_state(machine.term, candidate)
-    reset_timer(machine, now)
+    reset_election_timer(machine, now)
     return True
 
 
 def on_vote_reply(machine, reply: VoteReply, now: float) -> None:
-    """Count an answer to an own request."""
+    """Count the reply to a vote request of this member."""
     header = reply.header
     if header.term > machine.term and not reply.granted:
         machine.become_follower(header.term, None, now)
@@ -261,66 +272,73 @@
         return
     if not machine.formed and not reply.unformed:
         return
-    machine.election.granted[header.sender] = Member(
+    machine.election.votes[header.sender] = Member(
         header.sender, "", header.sender_incarnation
     )
-    _count(machine, now)
+    _advance_if_won(machine, now)
 
 
-def _count(machine, now: float) -> None:
+def _advance_if_won(machine, now: float) -> None:
     if not (machine.formed or machine.may_form):
         return
-    won = _has_quorum(machine) if machine.formed else _has_all(machine)
+    won = (
+        _quorum_granted(machine)
+        if machine.formed
+        else _all_initial_members_granted(machine)
+    )
     if not won:
         return
     if machine.role is Role.PRE_CANDIDATE:
-        _begin_election(machine, now)
+        _start_election(machine, now)
     elif machine.role is Role.CANDIDATE:
-        _replication.begin_leading(machine, machine.election.forming, now)
+        _replication.become_leader(machine, machine.election.forming, now)
 
 
-def _has_all(machine) -> bool:
-    """Tell whether every initial member agrees to form the group."""
-    granted = machine.election.granted
+def _all_initial_members_granted(machine) -> bool:
+    """Return whether every initial member granted a vote or pre-vote."""
+    votes = machine.election.votes
     if machine.role is Role.PRE_CANDIDATE:
-        return all(m.name in granted for m in machine.initial.members)
+        return all(m.name in votes for m in machine.initial.members)
     return all(
-        m.name in granted and granted[m.name].incarnation == m.incarnation
+        m.name in votes and votes[m.name].incarnation == m.incarnation
         for m in machine.election.forming.members
     )
 
 
-def _has_quorum(machine) -> bool:
-    """Count only votes of the incarnations in the configuration."""
+def _quorum_granted(machine) -> bool:
+    """Return whether a quorum of the voters granted a vote or pre-vote.
+
+    Only votes of the incarnations in the configuration count.
+    """
     configuration = machine.configuration
-    votes = [
+    granting_voters = [
         member
         for member in configuration.voters
-        if member.name in machine.election.granted
-        and machine.election.granted[member.name].incarnation
+        if member.name in machine.election.votes
+        and machine.election.votes[member.name].incarnation
         == member.incarnation
     ]
-    return len(votes) >= configuration.quorum
+    return len(granting_voters) >= configuration.quorum
 
 
-def _begin_election(machine, now: float) -> None:
-    forming = None if machine.formed else _first_configuration(machine)
+def _start_election(machine, now: float) -> None:
+    forming = None if machine.formed else _bind_incarnations(machine)
     machine.set_hard_state(machine.term + 1, machine.identity)
     machine.role = Role.CANDIDATE
     machine.leader = None
     machine.election.forming = forming
-    retry_timer(machine, now)
-    _ask(machine, False, machine.term, forming)
-    _count(machine, now)
+    schedule_retry(machine, now)
+    _request_votes(machine, False, machine.term, forming)
+    _advance_if_won(machine, now)
 
 
-def _first_configuration(machine) -> Configuration:
-    """Bind the initial members to the incarnations that answered."""
-    granted = machine.election.granted
+def _bind_incarnations(machine) -> Configuration:
+    """Return the initial members with the incarnations that replied."""
+    votes = machine.election.votes
     return Configuration(
         tuple(
             msgspec.structs.replace(
-                member, incarnation=granted[member.name].incarnation
+                member, incarnation=votes[member.name].incarnation
             )
             for member in machine.initial.members
         )
--- a/chivescale/agreement/_events.py
+++ b/chivescale/agreement/_events.py
@@ -14,7 +14,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a member currently does."""
+    """Role of a member in the current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -23,7 +23,7 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Durations in seconds; `snapshot_entries` counts applied entries."""
+    """Timeouts in seconds, and the number of entries between snapshots."""
 
     heartbeat_s: float = 0.05
     election_timeout_s: float = 0.25
@@ -31,14 +31,14 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """Term and vote; durable before any message that depends on them."""
+    """Term and vote, stored before any message that depends on them."""
 
     term: int = 0
     vote: str = ""
 
 
 class Recovered(msgspec.Struct, frozen=True):
-    """Durable state of a member at start."""
+    """Durable state that a member recovers at start."""
 
     incarnation: str
     hard_state: HardState = HardState()
@@ -47,17 +47,17 @@
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Time has passed."""
+    """Checks timeouts at the current time."""
 
 
 class Received(msgspec.Struct, frozen=True):
-    """A message has arrived."""
+    """A message was received."""
 
     message: AgreementMessage
 
 
 class Undelivered(msgspec.Struct, frozen=True):
-    """A message of this member got no answer in time."""
+    """A request of this member failed or timed out."""
 
     message: AgreementMessage
 
@@ -65,35 +65,36 @@
 class Propose(msgspec.Struct, frozen=True):
     """Appends commands; answered by `Appended` or `Rejected`."""
 
-    ticket: int
+    request_id: int
     commands: tuple[bytes, ...]
 
 
 class ConfirmRead(msgspec.Struct, frozen=True):
-    """Asks for proof of leadership; `ReadConfirmed` or `Rejected`."""
+    """Requests a read index; answered by `ReadConfirmed` or `Rejected`."""
 
-    ticket: int
+    request_id: int
 
 
 class ReplaceMember(msgspec.Struct, frozen=True):
     """Admits the latest incarnation of a member as a learner.
 
-    An unknown name is added. `Appended` or `Rejected`.
+    A member with an unknown name is added. Answered by `Appended` or
+    `Rejected`.
     """
 
-    ticket: int
+    request_id: int
     name: str
 
 
 class RemoveMember(msgspec.Struct, frozen=True):
-    """Takes a member out of the group; `Appended` or `Rejected`."""
+    """Removes a member; answered by `Appended` or `Rejected`."""
 
-    ticket: int
+    request_id: int
     name: str
 
 
 class SnapshotTaken(msgspec.Struct, frozen=True):
-    """The snapshot asked for by `TakeSnapshot`."""
+    """The encoded state requested by `TakeSnapshot`."""
 
     index: int
     data: bytes
@@ -112,9 +113,10 @@
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """Store durably before any later effect is executed.
+    """Store durably before executing any later effect.
 
-    Entries replace everything at and above the index of the first one.
+    The entries replace all stored entries from the index of the first one
+    onwards.
     """
 
     hard_state: HardState | None
@@ -122,7 +124,7 @@
 
 
 class SaveSnapshot(msgspec.Struct, frozen=True):
-    """Store a snapshot durably and keep only `entries` after it."""
+    """Store a snapshot durably; the log keeps only `entries`."""
 
     snapshot: Snapshot
     hard_state: HardState
@@ -149,42 +151,45 @@
 
 
 class TakeSnapshot(msgspec.Struct, frozen=True):
-    """Encode the state after `index`, which is the last one applied."""
+    """Encode the state after `index`, the last applied entry."""
 
     index: int
 
 
 class Appended(msgspec.Struct, frozen=True):
-    """Commands were appended at `first_index` and after, in `term`."""
+    """Commands were appended from `first_index` onwards, in `term`."""
 
-    ticket: int
+    request_id: int
     first_index: int
     term: int
 
 
 class ReadConfirmed(msgspec.Struct, frozen=True):
-    """A state applied up to `index` is current for the read."""
+    """The read may be served from a state applied up to `index`."""
 
-    ticket: int
+    request_id: int
     index: int
 
 
 class Rejected(msgspec.Struct, frozen=True):
-    """The request of `ticket` took no effect."""
+    """The request had no effect."""
 
-    ticket: int
+    request_id: int
     failure: Failure
 
 
 class LeadershipChanged(msgspec.Struct, frozen=True):
-    """The member started or ended leading with the complete log."""
+    """The member gained or lost leadership.
+
+    Leadership is gained once all entries of former leaders are applied.
+    """
 
     leading: bool
     term: int
 
 
 class ConfigurationChanged(msgspec.Struct, frozen=True):
-    """Another configuration is in use."""
+    """A new configuration took effect, committed or not."""
 
     configuration: Configuration
 
--- a/chivescale/agreement/_folder.py
+++ b/chivescale/agreement/_folder.py
@@ -1,4 +1,4 @@
-"""Reading of a data folder."""
+"""Reader for data folders."""
 
 import pathlib
 
@@ -10,7 +10,7 @@
     Batch,
     LogHeader,
     Record,
-    Scan,
+    ScanResult,
     SnapshotFile,
     scan_records,
 )
@@ -29,17 +29,17 @@
     entries : int
         Intact entries in the log file.
     last_index : int
-        Last entry, or the last one of the snapshot.
+        Index of the last entry in the log or the snapshot.
     snapshot_index : int
-        Last entry of the snapshot; 0 without one.
+        Index of the last entry in the snapshot; 0 without a snapshot.
     term : int
         Last stored term.
     incarnation : str
-        Identifier of the folder; empty if it holds no log.
+        Identifier of the folder; empty if it contains no log.
     torn_bytes : int
-        Length of a torn record at the end, which the next start removes.
+        Length of a torn record at the end; the next start truncates it.
     error : Failure or None
-        First fault found.
+        First error found.
     """
 
     entries: int = 0
@@ -51,8 +51,8 @@
     error: Failure | None = None
 
 
-class Content(msgspec.Struct):
-    """What was read from a folder, up to the first fault."""
+class FolderContent(msgspec.Struct):
+    """Data read from a folder, up to the first error."""
 
     incarnation: str = ""
     hard_state: HardState = HardState()
@@ -64,7 +64,7 @@
     error: Failure | None = None
 
     def recovered(self) -> Recovered:
-        """Return the durable state for the state machine."""
+        """Return the durable state that the state machine starts from."""
         entries = tuple(self.entries)
         if self.snapshot is not None:
             entries = _entries_after(self.snapshot, entries)
@@ -74,11 +74,11 @@
 
 
 def _entries_after(snapshot: Snapshot, entries: tuple[Entry, ...]):
-    """Return the entries that continue a snapshot.
+    """Return the log entries that follow a snapshot.
 
-    The process may have ended after it stored a leader's snapshot and
-    before it replaced the log. Entries that the snapshot contradicts were
-    never committed and are dropped.
+    A process may crash after storing a leader's snapshot and before
+    replacing the log. Entries that conflict with the snapshot were never
+    committed and are discarded.
     """
     if not entries or entries[0].index == snapshot.index + 1:
         return entries
@@ -90,32 +90,34 @@
     return entries[position + 1 :]
 
 
-def read_folder(folder: str | pathlib.Path) -> Content:
-    """Read log and snapshot; faults are noted in the result."""
+def read_folder(folder: str | pathlib.Path) -> FolderContent:
+    """Read log and snapshot; errors are returned in the result."""
     folder = pathlib.Path(folder)
-    content = Content()
-    log = _read_file(folder / LOG_NAME)
-    image = _read_file(folder / SNAPSHOT_NAME)
-    for found in (log, image):
-        if is_failure(found):
-            content.error = found
+    content = FolderContent()
+    log_scan = _read_file(folder / LOG_NAME)
+    snapshot_scan = _read_file(folder / SNAPSHOT_NAME)
+    for scan in (log_scan, snapshot_scan):
+        if is_failure(scan):
+            content.error = scan
             return content
-    if log is None:
-        if image is not None:
+    if log_scan is None:
+        if snapshot_scan is not None:
             path = folder / LOG_NAME
-            content.error = _corrupt(path, 0, "snapshot without a log")
+            content.error = _corrupt(
+                path, 0, "snapshot exists but the log is missing"
+            )
         return content
     content.exists = True
-    _load_log(content, folder / LOG_NAME, log)
-    if image is not None and content.error is None:
-        _load_snapshot(content, folder / SNAPSHOT_NAME, image)
+    _load_log(content, folder / LOG_NAME, log_scan)
+    if snapshot_scan is not None and content.error is None:
+        _load_snapshot(content, folder / SNAPSHOT_NAME, snapshot_scan)
     if content.error is None:
-        _check_continuity(content, folder / LOG_NAME, log.records[0])
+        _check_continuity(content, folder / LOG_NAME, log_scan.records[0])
     return content
 
 
 def check_folder(folder: str | pathlib.Path) -> FolderReport:
-    """Report the content of a data folder without changing it."""
+    """Summarize a data folder without modifying it."""
     content = read_folder(folder)
     snapshot_index = content.snapshot.index if content.snapshot else 0
     last = content.entries[-1].index if content.entries else 0
@@ -130,7 +132,7 @@
     )
 
 
-def _read_file(path: pathlib.Path) -> Scan | None | Failure:
+def _read_file(path: pathlib.Path) -> ScanResult | None | Failure:
     try:
         return scan_records(path.read_bytes())
     except FileNotFoundError:
@@ -144,58 +146,71 @@
     return Failure(ErrorKind.STORAGE_CORRUPT, text)
 
 
-def _load_log(content: Content, path: pathlib.Path, log: Scan) -> None:
-    content.log_end, content.torn_bytes = log.offset, log.torn_bytes
-    if not log.records or not isinstance(log.records[0], LogHeader):
-        reason = log.corrupt or "log has no header"
+def _load_log(
+    content: FolderContent, path: pathlib.Path, log_scan: ScanResult
+) -> None:
+    content.log_end, content.torn_bytes = log_scan.offset, log_scan.torn_bytes
+    if not log_scan.records or not isinstance(log_scan.records[0], LogHeader):
+        reason = log_scan.corrupt or "log header is missing"
         content.error = _corrupt(path, 0, reason)
         return
-    content.incarnation = log.records[0].incarnation
-    base = log.records[0].base_index
-    for record, offset in zip(log.records, log.offsets, strict=True):
+    content.incarnation = log_scan.records[0].incarnation
+    base = log_scan.records[0].base_index
+    for record, offset in zip(log_scan.records, log_scan.offsets, strict=True):
         fault = offset and _load_batch(content, base, record)
         if fault:
             content.error = _corrupt(path, offset, fault)
             return
-    if log.corrupt:
-        content.error = _corrupt(path, log.offset, log.corrupt)
+    if log_scan.corrupt:
+        content.error = _corrupt(path, log_scan.offset, log_scan.corrupt)
 
 
-def _load_batch(content: Content, base: int, record: Record) -> str:
+def _load_batch(content: FolderContent, base: int, record: Record) -> str:
     if not isinstance(record, Batch):
-        return "unexpected record"
+        return "unexpected record type in the log"
     if record.hard_state is not None:
         content.hard_state = record.hard_state
     for entry in record.entries:
         position = entry.index - base - 1
         if not 0 <= position <= len(content.entries):
-            return f"entry {entry.index} does not continue the log"
-        # A repeated index replaces what followed it.
+            return f"entry {entry.index} does not follow the previous entry"
+        # An entry with an existing index overwrites it and all later ones.
         del content.entries[position:]
         content.entries.append(entry)
     return ""
 
 
-def _load_snapshot(content: Content, path: pathlib.Path, image: Scan) -> None:
-    # The file is replaced as a whole, so it cannot be torn.
-    if image.corrupt or image.torn_bytes or len(image.records) != 1:
-        reason = image.corrupt or "snapshot is incomplete"
-        content.error = _corrupt(path, image.offset, reason)
+def _load_snapshot(
+    content: FolderContent, path: pathlib.Path, snapshot_scan: ScanResult
+) -> None:
+    # The file is replaced atomically, so a torn record means corruption.
+    if (
+        snapshot_scan.corrupt
+        or snapshot_scan.torn_bytes
+        or len(snapshot_scan.records) != 1
+    ):
+        reason = (
+            snapshot_scan.corrupt
+            or "snapshot is truncated or has extra records"
+        )
+        content.error = _corrupt(path, snapshot_scan.offset, reason)
         return
-    record = image.records[0]
+    record = snapshot_scan.records[0]
     if not isinstance(record, SnapshotFile):
-        content.error = _corrupt(path, 0, "not a snapshot")
+        content.error = _corrupt(path, 0, "record is not a snapshot")
     elif record.incarnation != content.incarnation:
-        content.error = _corrupt(path, 0, "snapshot of another folder")
+        content.error = _corrupt(
+            path, 0, "snapshot belongs to another incarnation"
+        )
     else:
         content.snapshot = record.snapshot
 
 
-def _check_continuity(content: Content, path, header: LogHeader) -> None:
-    covered = content.snapshot.index if content.snapshot else 0
-    if covered < header.base_index:
+def _check_continuity(content: FolderContent, path, header: LogHeader) -> None:
+    snapshot_index = content.snapshot.index if content.snapshot else 0
+    if snapshot_index < header.base_index:
         reason = (
-            f"log continues entry {header.base_index},"
-            f" snapshot ends at {covered}"
+            f"log starts after entry {header.base_index},"
+            f" but the snapshot ends at entry {snapshot_index}"
         )
         content.error = _corrupt(path, 0, reason)
--- a/chivescale/agreement/_follower.py
+++ b/chivescale/agreement/_follower.py
@@ -1,6 +1,6 @@
-"""Follower side of replication."""
+"""Log replication on followers."""
 
-from chivescale.agreement._log import require
+from chivescale.agreement._log import check_invariant
 from chivescale.agreement._messages import (
     AppendReply,
     AppendRequest,
@@ -12,7 +12,7 @@
 
 
 def _accept_leader(machine, header: Header, now: float) -> bool:
-    """Follow the sender unless its term is over."""
+    """Follow the sender unless its term is outdated."""
     if header.term < machine.term:
         return False
     known = machine.configuration.find(header.sender)
@@ -34,37 +34,37 @@
 
 
 def on_append(machine, request: AppendRequest, now: float) -> None:
-    """Take over entries of the leader."""
+    """Append the entries of the leader and reply."""
     prev = request.prev_index
     if not _accept_leader(machine, request.header, now):
         _reply(machine, request, False, prev, 0)
         return
-    if not _matches(machine, request):
-        _reply(machine, request, False, prev, _match_hint(machine, prev))
+    if not _matches_previous(machine, request):
+        _reply(machine, request, False, prev, _conflict_index(machine, prev))
         return
     for entry in request.entries:
-        _take_over(machine, entry)
+        _store_entry(machine, entry)
     last = prev + len(request.entries)
     machine.commit = max(machine.commit, min(request.commit, last))
     _reply(machine, request, True, prev, last)
 
 
-def _matches(machine, request: AppendRequest) -> bool:
+def _matches_previous(machine, request: AppendRequest) -> bool:
     log, prev = machine.log, request.prev_index
     if prev > log.last_index:
         return False
     if prev < log.base_index or prev == 0:
         return True
     same = log.term_at(prev) == request.prev_term
-    require(same or prev > machine.commit, "committed entry differs")
+    check_invariant(same or prev > machine.commit, "committed entry differs")
     return same
 
 
-def _match_hint(machine, prev: int) -> int:
-    """Return the highest index at which the logs may agree.
+def _conflict_index(machine, prev: int) -> int:
+    """Return the highest index at which the logs may match.
 
-    A conflicting term is skipped as a whole, so that a long divergent
-    tail costs one message per term instead of one per entry.
+    All entries of a conflicting term are skipped at once, so that a long
+    divergent suffix takes one message per term instead of one per entry.
     """
     log = machine.log
     if prev > log.last_index:
@@ -75,21 +75,21 @@
     return index
 
 
-def _take_over(machine, entry: Entry) -> None:
+def _store_entry(machine, entry: Entry) -> None:
     log = machine.log
     if entry.index <= log.base_index:
         return
     if entry.index <= log.last_index:
         if log.term_at(entry.index) == entry.term:
             same = log.entry(entry.index) == entry
-            require(same, "two entries with one index and term")
+            check_invariant(same, "entries with equal index and term differ")
             return
         machine.truncate_from(entry.index)
     machine.append(entry)
 
 
 def on_snapshot(machine, request: SnapshotRequest, now: float) -> None:
-    """Take over a snapshot of the leader."""
+    """Install a snapshot of the leader and reply."""
     index = request.snapshot.index
     if not _accept_leader(machine, request.header, now):
         _reply(machine, request, False, index, 0)
--- a/chivescale/agreement/_host.py
+++ b/chivescale/agreement/_host.py
@@ -1,4 +1,4 @@
-"""The asyncio shell around the agreement state machine."""
+"""Asyncio driver of the agreement state machine."""
 
 import asyncio
 import random
@@ -40,7 +40,12 @@
     VoteReply,
 )
 from chivescale.agreement._peers import Peers
-from chivescale.agreement._waiters import Outcome, Waiters, resolve, until
+from chivescale.agreement._pending import (
+    Outcome,
+    PendingRequests,
+    set_results,
+    wait_until,
+)
 from chivescale.clock import now
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.telemetry import log_event
@@ -53,28 +58,29 @@
 
 
 class AgreementHost:
-    """One member of the group that keeps the replicated log.
+    """Runs one member of the group that keeps the replicated log.
 
     Parameters
     ----------
     name : str
         Own name.
     members : tuple of ControlMember
-        Control hosts of the settings.
+        Control hosts from the settings.
     log : DurableLog
-        Data folder; opened by `start`, closed by `close`.
+        Durable log; opened by `start`, closed by `close`.
     client : Client
         Transport to the other members.
     settings : AgreementSettings
-        Timing.
+        Timeouts and snapshot interval.
     callbacks : Callbacks
-        Owner of the state.
+        Connection to the replicated state.
     rng : random.Random, optional
-        Source of the random part of election timeouts.
+        Random generator for election timeouts.
     address : str, optional
-        Own address, for a host that is not among `members`.
+        Address of this host; required if `members` does not contain it.
     may_form : bool, optional
-        Whether this host may take part in forming the group.
+        Whether this host may take part in the initial formation of the
+        group.
     """
 
     def __init__(
@@ -107,17 +113,17 @@
         self.peers = Peers(client, self.timing, self._step)
         self.machine: Agreement | None = None
         self.failure: Failure | None = None
-        self.waiters = Waiters()
-        self.queue: list[tuple[bytes, asyncio.Future]] = []
+        self.pending = PendingRequests()
+        self.queued_commands: list[tuple[bytes, asyncio.Future]] = []
         self.timer: asyncio.TimerHandle | None = None
         self.timer_due: float | None = None
-        self.replies: list[AgreementMessage] | None = None
+        self.pending_replies: list[AgreementMessage] | None = None
 
     # State.
 
     @property
     def is_leader(self) -> bool:
-        """Whether this host leads and has applied all earlier commands."""
+        """Whether this host leads and applied all entries of past terms."""
         return self.failure is None and bool(
             self.machine and self.machine.ready
         )
@@ -140,18 +146,18 @@
 
     @property
     def last_applied(self) -> int:
-        """Index of the last applied entry; not every entry is a command."""
+        """Index of the last applied entry, which may not be a command."""
         return self.machine.applied if self.machine else 0
 
     @property
     def configuration(self) -> Configuration:
-        """Members in use."""
+        """Latest configuration, committed or not."""
         return self.machine.configuration if self.machine else self.initial
 
-    # Life.
+    # Lifecycle.
 
     async def start(self) -> Failure | None:
-        """Open the data folder and take part in the group."""
+        """Open the data folder and join the group."""
         recovered = self.log.open()
         if is_failure(recovered):
             self.failure = recovered
@@ -170,7 +176,10 @@
         return self.failure
 
     async def close(self) -> None:
-        """Stop; requests under way end with ``SHUTTING_DOWN``."""
+        """Stop; queued commands end with ``SHUTTING_DOWN``.
+
+        Requests that were already processed end with ``OUTCOME_UNKNOWN``.
+        """
         if self.failure is None:
             reason = f"{self.name} is shutting down"
             self._stop(Failure(ErrorKind.SHUTTING_DOWN, reason))
@@ -178,7 +187,7 @@
         self.log.close()
 
     def routes(self) -> "list[Route]":
-        """Return what the control interface serves for the group."""
+        """Return the HTTP routes that other members call."""
         from chivescale.transport import Route
 
         return [
@@ -191,7 +200,7 @@
             )
         ]
 
-    # Requests of the own process.
+    # Requests from the local process.
 
     async def propose(self, command: bytes, deadline: float) -> int | Failure:
         """Commit and apply a command.
@@ -199,7 +208,7 @@
         Parameters
         ----------
         command : bytes
-            Content; not interpreted here.
+            Opaque content.
         deadline : float
             Monotonic time in seconds.
 
@@ -207,8 +216,8 @@
         -------
         index or Failure
             ``NOT_LEADER`` with the leader's address, ``OVERLOADED`` or
-            ``DEADLINE_NOT_STARTED`` if the command takes no effect;
-            ``OUTCOME_UNKNOWN`` if it may take effect later.
+            ``DEADLINE_NOT_STARTED`` if the command has no effect;
+            ``OUTCOME_UNKNOWN`` if it may still be committed.
         """
         outcome = await self.submit(command, deadline)
         return outcome if is_failure(outcome) else outcome.index
@@ -216,67 +225,77 @@
     async def submit(
         self, command: bytes, deadline: float
     ) -> Outcome | Failure:
-        """Like `propose`; also returns the result of the apply."""
+        """Like `propose`, but return the index and the result of `apply`."""
         if self.failure is not None:
             return self.failure
         if now() >= deadline:
-            return Failure(ErrorKind.DEADLINE_NOT_STARTED, "deadline passed")
+            return Failure(
+                ErrorKind.DEADLINE_NOT_STARTED,
+                "deadline passed before the command was proposed",
+            )
         future = asyncio.get_running_loop().create_future()
-        self.queue.append((command, future))
-        if len(self.queue) == 1:
-            # All commands of one turn of the event loop share a sync.
-            asyncio.get_running_loop().call_soon(self._flush)
+        self.queued_commands.append((command, future))
+        if len(self.queued_commands) == 1:
+            # Commands queued in one iteration of the event loop share a
+            # disk sync.
+            asyncio.get_running_loop().call_soon(self._propose_queued)
         reason = "no quorum confirmed the command before the deadline"
-        unknown = Failure(ErrorKind.OUTCOME_UNKNOWN, reason)
-        return await until(future, deadline, unknown)
+        outcome_unknown = Failure(ErrorKind.OUTCOME_UNKNOWN, reason)
+        return await wait_until(future, deadline, outcome_unknown)
 
     async def confirm_read(self, deadline: float) -> int | Failure:
-        """Prove that this host leads.
+        """Confirm with a quorum that this host still leads.
 
         Returns
         -------
         index or Failure
-            The applied state is current, at or above this index;
-            ``NOT_LEADER`` or ``NO_QUORUM`` otherwise.
+            Read index: the applied state has reached it and is current for
+            the read. ``NOT_LEADER`` or ``NO_QUORUM`` otherwise.
         """
         reason = "no quorum confirmed the read before the deadline"
         failure = Failure(ErrorKind.NO_QUORUM, reason)
-        return await self._request(ConfirmRead, deadline, failure)
+        return await self._submit_event(ConfirmRead, deadline, failure)
 
     async def replace_member(
         self, name: str, deadline: float
     ) -> Outcome | Failure:
-        """Admit the incarnation that a member returned with.
+        """Admit the latest incarnation of a member.
 
-        It becomes a learner and, once it has caught up, a voter.
+        It joins as a learner and becomes a voter once it has caught up.
         """
-        return await self._change(ReplaceMember, name, deadline)
+        return await self._change_member(ReplaceMember, name, deadline)
 
     async def remove_member(
         self, name: str, deadline: float
     ) -> Outcome | Failure:
-        """Take a member out of the group."""
-        return await self._change(RemoveMember, name, deadline)
-
-    async def _change(self, event_type, name: str, deadline: float):
-        reason = f"change of member {name} not confirmed before the deadline"
-        unknown = Failure(ErrorKind.OUTCOME_UNKNOWN, reason)
-        return await self._request(event_type, deadline, unknown, name)
+        """Remove a member from the group."""
+        return await self._change_member(RemoveMember, name, deadline)
+
+    async def _change_member(self, event_type, name: str, deadline: float):
+        reason = f"change of member {name} not committed before the deadline"
+        outcome_unknown = Failure(ErrorKind.OUTCOME_UNKNOWN, reason)
+        return await self._submit_event(
+            event_type, deadline, outcome_unknown, name
+        )
 
-    async def _request(self, event_type, deadline, late: Failure, *args):
+    async def _submit_event(
+        self, event_type, deadline, timeout_result: Failure, *args
+    ):
         if self.failure is not None:
             return self.failure
         future = asyncio.get_running_loop().create_future()
-        self._step(event_type(self.waiters.ticket([future]), *args))
-        return await until(future, deadline, late)
+        self._step(event_type(self.pending.register([future]), *args))
+        return await wait_until(future, deadline, timeout_result)
 
-    def _flush(self) -> None:
-        queue, self.queue = self.queue, []
-        if not queue or self.failure is not None:
+    def _propose_queued(self) -> None:
+        queued_commands, self.queued_commands = self.queued_commands, []
+        if not queued_commands or self.failure is not None:
             return
-        commands = tuple(command for command, _ in queue)
-        ticket = self.waiters.ticket([future for _, future in queue])
-        self._step(Propose(ticket, commands))
+        commands = tuple(command for command, _ in queued_commands)
+        request_id = self.pending.register(
+            [future for _, future in queued_commands]
+        )
+        self._step(Propose(request_id, commands))
 
     # Messages.
 
@@ -284,20 +303,25 @@
         return self.receive(request.body)
 
     def receive(self, message: AgreementMessage) -> AgreementMessage | Failure:
-        """Handle the message of another member; return the answer."""
+        """Handle a message of another member and return the reply."""
         if self.machine is None:
-            return Failure(ErrorKind.NOT_READY, f"{self.name} is starting")
+            return Failure(
+                ErrorKind.NOT_READY,
+                f"{self.name} has not started the agreement yet",
+            )
         if self.failure is not None:
             return self.failure
-        self.replies = replies = []
+        self.pending_replies = pending_replies = []
         self._step(Received(message))
-        self.replies = None
+        self.pending_replies = None
         if self.failure is not None:
             return self.failure
-        if not replies:
-            reason = f"{self.name} is not the incarnation addressed"
+        if not pending_replies:
+            reason = (
+                f"message is not addressed to this incarnation of {self.name}"
+            )
             return Failure(ErrorKind.UNKNOWN_MEMBER, reason)
-        return replies[0]
+        return pending_replies[0]
 
     # Steps and effects.
 
@@ -306,29 +330,29 @@
             pending = [event]
             while pending and self.failure is None:
                 pending += self._handle(pending.pop(0))
-            self._schedule()
+            self._schedule_timer()
         except AssertionError as err:
-            # Going on could spread a wrong state to other members.
-            self._stop_broken(f"invariant violated: {err}")
+            # Continuing could replicate invalid state to other members.
+            self._stop_on_error(f"invariant violated: {err}")
         except Exception as err:
-            # A callback failed, so an entry is applied here only in part.
-            self._stop_broken(f"{err!r}")
+            # A callback failed, so an entry may be applied only in part.
+            self._stop_on_error(f"{err!r}")
 
     def _handle(self, event: Event) -> list[Event]:
-        """Execute the effects of an event; return the events they cause."""
-        following = []
+        """Process an event and its effects; return follow-up events."""
+        caused_events = []
         for effect in self.machine.step(event, now()):
             caused = self._execute(effect)
             if self.failure is not None:
                 break
             if caused is not None:
-                following.append(caused)
-        return following
+                caused_events.append(caused)
+        return caused_events
 
-    def _stop_broken(self, reason: str) -> None:
+    def _stop_on_error(self, reason: str) -> None:
         self._stop(Failure(ErrorKind.INTERNAL, f"{self.name}: {reason}"))
 
-    def _schedule(self) -> None:
+    def _schedule_timer(self) -> None:
         if self.failure is not None:
             return
         due = self.machine.next_wakeup()
@@ -348,9 +372,9 @@
         match effect:
             case Persist(hard_state, entries):
                 failure = self.log.append(hard_state, entries)
-                self._check_disk(failure or self.log.sync())
+                self._stop_on_disk_failure(failure or self.log.sync())
             case SaveSnapshot(snapshot, hard_state, entries):
-                self._check_disk(
+                self._stop_on_disk_failure(
                     self.log.snapshot(snapshot, hard_state, entries)
                 )
             case Send(address, message):
@@ -361,12 +385,12 @@
                 self._restore(snapshot)
             case TakeSnapshot(index):
                 return SnapshotTaken(index, self.callbacks.snapshot())
-            case Appended(ticket, first_index, term):
-                self.waiters.appended(ticket, first_index, term)
-            case ReadConfirmed(ticket, index):
-                self.waiters.answer(ticket, index)
-            case Rejected(ticket, failure):
-                self.waiters.answer(ticket, failure)
+            case Appended(request_id, first_index, term):
+                self.pending.track_entries(request_id, first_index, term)
+            case ReadConfirmed(request_id, index):
+                self.pending.complete(request_id, index)
+            case Rejected(request_id, failure):
+                self.pending.complete(request_id, failure)
             case LeadershipChanged(leading, term):
                 log_event(
                     "leadership", host=self.name, leading=leading, term=term
@@ -376,15 +400,15 @@
                 _log_configuration(self.name, configuration)
         return None
 
-    def _check_disk(self, failure: Failure | None) -> None:
+    def _stop_on_disk_failure(self, failure: Failure | None) -> None:
         if failure is not None:
             self._stop(failure)
 
     def _send(self, address: str, message: AgreementMessage) -> None:
         if isinstance(message, VoteReply | AppendReply):
-            # Answers return on the connection of their request.
-            if self.replies is not None:
-                self.replies.append(message)
+            # Replies are sent in the HTTP response to the request.
+            if self.pending_replies is not None:
+                self.pending_replies.append(message)
         elif address:
             self.peers.send(address, message)
 
@@ -392,15 +416,15 @@
         result = None
         if entry.kind == COMMAND:
             result = self.callbacks.apply(entry.index, entry.data)
-        self.waiters.applied(entry, result, self.leader_address)
+        self.pending.complete_entry(entry, result, self.leader_address)
 
     def _restore(self, snapshot) -> None:
         self.callbacks.restore(snapshot.data)
-        self.waiters.covered(snapshot.index)
+        self.pending.complete_through(snapshot.index)
 
     def _stop(self, failure: Failure) -> None:
-        """End taking part: no votes, no answers, no messages."""
-        led = self.is_leader
+        """Stop permanently: send no more votes, replies or messages."""
+        was_leader = self.is_leader
         self.failure = failure
         level = "info" if failure.kind is ErrorKind.SHUTTING_DOWN else "error"
         log_event(
@@ -408,10 +432,10 @@
         )
         if self.timer is not None:
             self.timer.cancel()
-        self.waiters.end(failure)
-        resolve([future for _, future in self.queue], failure)
-        self.queue.clear()
-        if led:
+        self.pending.fail_all(failure)
+        set_results([future for _, future in self.queued_commands], failure)
+        self.queued_commands.clear()
+        if was_leader:
             self.callbacks.leadership(False, self.machine.term)
 
 
--- a/chivescale/agreement/_log.py
+++ b/chivescale/agreement/_log.py
@@ -1,4 +1,4 @@
-"""The part of the log that is kept in memory."""
+"""In-memory part of the log."""
 
 import msgspec
 
@@ -12,35 +12,36 @@
 _configuration_decoder = msgspec.msgpack.Decoder(Configuration)
 
 
-def require(condition: bool, text: str) -> None:
+def check_invariant(condition: bool, message: str) -> None:
     """Raise ``AssertionError`` if an invariant does not hold.
 
-    Not an assert statement, since these checks also stop a member in
-    production before it spreads a wrong state.
+    An assert statement would be removed by ``python -O``. The check must run
+    in production too, where it stops a member before it replicates invalid
+    state.
     """
     if not condition:
-        raise AssertionError(text)
+        raise AssertionError(message)
 
 
 def configuration_entry(
     index: int, term: int, configuration: Configuration
 ) -> Entry:
-    """Return the entry that puts a configuration in use."""
+    """Return the log entry that sets a configuration."""
     data = msgspec.msgpack.encode(configuration)
     return Entry(index, term, CONFIGURATION, data)
 
 
 class MemoryLog:
-    """Entries after a snapshot, and the configurations among them.
+    """Log entries after a snapshot, and the configurations they set.
 
     Parameters
     ----------
     initial : Configuration
         Configuration before the first entry.
     snapshot : Snapshot or None
-        State that precedes `entries`.
+        Snapshot that `entries` follow.
     entries : tuple of Entry
-        Entries in order.
+        Entries in log order.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         return self.configurations[-1][0]
 
     def configuration_at(self, index: int) -> Configuration:
-        """Return the configuration in use after `index`."""
+        """Return the configuration in effect after the entry at `index`."""
         found = self.configurations[0][1]
         for position, configuration in self.configurations:
             if position <= index:
@@ -87,7 +88,7 @@
         return found
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry; None if it is not kept."""
+        """Return the term of an entry; None if the entry is not in memory."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -95,17 +96,17 @@
         return self.entries[index - self.base_index - 1].term
 
     def entry(self, index: int) -> Entry:
-        """Return a kept entry."""
+        """Return an entry that is in memory."""
         return self.entries[index - self.base_index - 1]
 
     def entries_after(self, index: int) -> tuple[Entry, ...]:
-        """Return the kept entries after `index`."""
+        """Return the entries in memory after `index`."""
         return tuple(self.entries[max(0, index - self.base_index) :])
 
     def slice(self, first: int, count: int, size: int) -> tuple[Entry, ...]:
-        """Return entries from `first`, up to `count` and `size` bytes.
+        """Return entries from `first`, limited by count and size in bytes.
 
-        At least one entry is returned if there is one.
+        The first entry is returned even if it exceeds `size`.
         """
         start = first - self.base_index - 1
         chosen = []
@@ -117,31 +118,43 @@
         return tuple(chosen)
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry."""
-        require(entry.index == self.last_index + 1, "log has a gap")
-        require(entry.term >= self.last_term, "log terms decrease")
+        """Append an entry.
+
+        A configuration takes effect immediately, before it is committed.
+        """
+        check_invariant(
+            entry.index == self.last_index + 1,
+            "entry index does not follow the last one",
+        )
+        check_invariant(
+            entry.term >= self.last_term, "entry term is below the last one"
+        )
         self.entries.append(entry)
         if entry.kind == CONFIGURATION:
             decoded = _configuration_decoder.decode(entry.data)
             self.configurations.append((entry.index, decoded))
 
     def truncate_from(self, index: int, commit: int) -> None:
-        """Remove the entries at and after `index`."""
-        require(index > commit, "committed entry would change")
+        """Remove all entries from `index` onwards."""
+        check_invariant(
+            index > commit, "truncation would remove a committed entry"
+        )
         del self.entries[index - self.base_index - 1 :]
         while self.configuration_index >= index:
             self.configurations.pop()
 
     def compact(self, snapshot: Snapshot, keep_after: int) -> None:
-        """Take over a snapshot of own state.
+        """Store a snapshot of the local state and discard older entries.
 
-        Entries after `keep_after` stay, so that a member that is only a
-        little behind does not need the snapshot.
+        Entries after `keep_after` are retained, so that a follower that lags
+        only slightly does not need the snapshot.
         """
         self.snapshot = snapshot
         base = max(self.base_index, min(keep_after, snapshot.index))
         term = self.term_at(base)
-        require(term is not None, "compaction before the first kept entry")
+        check_invariant(
+            term is not None, "compaction before the first entry in memory"
+        )
         configuration = self.configuration_at(base)
         later = [pair for pair in self.configurations if pair[0] > base]
         del self.entries[: base - self.base_index]
@@ -149,9 +162,10 @@
         self.configurations = [(base, configuration), *later]
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take over a snapshot of the leader.
+        """Install a snapshot of the leader.
 
-        Entries after it stay if the log agrees with it.
+        Entries after the snapshot are retained if the log contains its last
+        entry.
         """
         if self.term_at(snapshot.index) == snapshot.term:
             self.compact(snapshot, snapshot.index)
--- a/chivescale/agreement/_machine.py
+++ b/chivescale/agreement/_machine.py
@@ -1,4 +1,4 @@
-"""The agreement state machine: dispatch, commit and apply."""
+"""Agreement state machine: event dispatch, commit and apply."""
 
 import random
 
@@ -28,7 +28,7 @@
     Timing,
     Undelivered,
 )
-from chivescale.agreement._log import MemoryLog, require
+from chivescale.agreement._log import MemoryLog, check_invariant
 from chivescale.agreement._messages import (
     AgreementMessage,
     AppendReply,
@@ -44,37 +44,38 @@
 )
 from chivescale.errors import ErrorKind, Failure
 
-# A timer that is late by more than this share of a heartbeat was held up by
+# A timer that fires later than this fraction of a heartbeat interval indicates
 # a pause of the process.
-LATE_SHARE = 0.2
-# A member that hears nothing wakes up after this many heartbeats; a late
-# wake-up shows that it was paused itself.
-WAKEUP_HEARTBEATS = 2
+PAUSE_THRESHOLD_HEARTBEATS = 0.2
+# Longest wait of a follower, in heartbeat intervals. A late wake-up shows that
+# the process itself was paused.
+MAX_WAKEUP_HEARTBEATS = 2
 
 
 class Agreement:
-    """One member of the group that keeps the replicated log.
+    """State machine of one member of the group; performs no I/O.
 
-    The caller executes the effects of a step in order, before the next
-    step. If one that writes to disk fails, the later ones must not be
-    executed and the machine must not be used any more.
+    The caller must execute the effects of a step in order and before the
+    next step. If a disk write fails, the remaining effects must not be
+    executed and the machine must not be used again.
 
     Parameters
     ----------
     name : str
-        Own name, one of the initial members or a name to be added.
+        Name of this member, which `initial` need not contain.
     initial : Configuration
-        Members of the settings, without incarnations.
+        Members from the settings, without incarnations.
     recovered : Recovered
-        Durable state.
+        Durable state of this member.
     timing : Timing
-        Durations.
+        Timeouts and snapshot interval.
     rng : random.Random
-        Source of the random part of election timeouts.
+        Random generator for election timeouts.
     address : str, optional
-        Own address; needed by a member that `initial` does not name.
+        Address of this member; required if `initial` does not contain it.
     may_form : bool, optional
-        Whether this member may take part in forming the group.
+        Whether this member may take part in the initial formation of the
+        group.
     """
 
     def __init__(
@@ -90,8 +91,8 @@
     ):
         self.name = name
         self.address = address
-        # A member that starts without its disk, or that the initial
-        # configuration does not name, must not form a second group.
+        # A member that lost its disk, or that is not in the initial
+        # configuration, must not form a second group.
         self.may_form = may_form and initial.find(name) is not None
         self.incarnation = recovered.incarnation
         self.identity = f"{name}/{recovered.incarnation}"
@@ -106,23 +107,23 @@
         self.role = Role.FOLLOWER
         self.leader: Member | None = None
         self.term_leader: Member | None = None
-        self.leader_contact: float | None = None
+        self.leader_contact_at: float | None = None
         self.election_due: float | None = None
-        self.stepped_at = 0.0
-        self.deferred = False
+        self.last_step_at = 0.0
+        self.election_deferred = False
         self.election = _election.Election()
-        self.leading = _replication.Leading()
+        self.leading = _replication.LeaderState()
         self.seen: dict[str, Member] = {}
         self._hard_state_changed = False
         self._new_entries: list[Entry] = []
-        self._installed: Snapshot | None = None
-        self._saved: Snapshot | None = None
+        self._snapshot_to_restore: Snapshot | None = None
+        self._snapshot_to_save: Snapshot | None = None
         self._sends: list[Send] = []
         self._effects: list[Effect] = []
         if recovered.snapshot is not None:
             self._effects.append(Restore(recovered.snapshot))
 
-    # State that the shell reads.
+    # State that the driver reads.
 
     @property
     def configuration(self) -> Configuration:
@@ -136,7 +137,7 @@
 
     @property
     def own_member(self) -> Member | None:
-        """Own entry in the configuration, of the own incarnation."""
+        """This member in the configuration; None for another incarnation."""
         return self.configuration.find(self.name, self.incarnation)
 
     @property
@@ -149,57 +150,57 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this member leads and has applied all before its term."""
+        """Whether this member leads and applied all entries of past terms."""
         return (
             self.role is Role.LEADER
             and self.applied >= self.leading.first_index
         )
 
     def contact_age_s(self, now: float) -> float:
-        """Return how long ago this member was in contact with a quorum.
+        """Return the time since the last contact with a quorum, in seconds.
 
-        A follower is in contact through its leader.
+        A follower counts the last message of its leader.
         """
         if self.role is Role.LEADER:
             contact = _replication.quorum_contact(self, now)
         else:
-            contact = self.leader_contact if self.leader else None
+            contact = self.leader_contact_at if self.leader else None
         return float("inf") if contact is None else now - contact
 
     def next_wakeup(self) -> float | None:
-        """Return when the next `Tick` is due; None for at once."""
+        """Return the time of the next `Tick`; None if it is due now."""
         if self.role is Role.LEADER:
             return self.leading.heartbeat_due
         if self.election_due is None:
             return None
-        check = WAKEUP_HEARTBEATS * self.timing.heartbeat_s
-        return min(self.election_due, self.stepped_at + check)
+        max_wait_s = MAX_WAKEUP_HEARTBEATS * self.timing.heartbeat_s
+        return min(self.election_due, self.last_step_at + max_wait_s)
 
     # Events.
 
     def step(self, event: Event, now: float) -> list[Effect]:
-        """Handle one event.
+        """Process one event.
 
         Parameters
         ----------
         event : Event
-            What happened.
+            Event to process.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         list of Effect
-            To be executed in order.
+            Effects to execute in order.
 
         Raises
         ------
         AssertionError
-            If an invariant is violated; the member must stop.
+            If an invariant is violated. The member must stop.
         """
         before = (self.commit, self.configuration)
         was_ready = self.ready
-        self._note_time(now)
+        self._handle_pause(now)
         match event:
             case Tick():
                 self._tick(now)
@@ -209,8 +210,8 @@
                 _replication.on_undelivered(self, message, now)
             case Propose():
                 _replication.propose(self, event, now)
-            case ConfirmRead(ticket):
-                _replication.confirm_read(self, ticket, now)
+            case ConfirmRead(request_id):
+                _replication.confirm_read(self, request_id, now)
             case ReplaceMember():
                 _members.replace_member(self, event, now)
             case RemoveMember():
@@ -223,41 +224,44 @@
         self._apply_committed()
         if self.role is Role.LEADER:
             _replication.answer_reads(self, now)
-        require(self.commit >= before[0], "commit index went back")
+        check_invariant(self.commit >= before[0], "commit index decreased")
         if self.configuration != before[1]:
             self.emit(ConfigurationChanged(self.configuration))
         if self.ready != was_ready:
             self.emit(LeadershipChanged(self.ready, self.term))
-        return self._collect()
+        return self._collect_effects()
 
-    def _note_time(self, now: float) -> None:
-        """Start the timer; put an election off once after a pause.
+    def _handle_pause(self, now: float) -> None:
+        """Start the election timer; postpone it once after a pause.
 
-        A process that was paused has to see the messages that arrived
-        meanwhile before it misses its leader, which may have been paused
-        too.
+        After a pause, the process must first handle the messages that arrived
+        in the meantime. The leader may have been paused as well, so it gets
+        time to send the next heartbeat.
         """
         if self.election_due is None:
-            self.stepped_at = now
-            _election.start_timer(self, now)
+            self.last_step_at = now
+            _election.start_election_timer(self, now)
             return
-        late = now - self.next_wakeup()
-        self.stepped_at = now
+        delay_s = now - self.next_wakeup()
+        self.last_step_at = now
         heartbeat = self.timing.heartbeat_s
-        if late > LATE_SHARE * heartbeat and not self.deferred:
-            self.deferred = True
-            wait = max(heartbeat, min(late, self.timing.election_timeout_s))
+        if (
+            delay_s > PAUSE_THRESHOLD_HEARTBEATS * heartbeat
+            and not self.election_deferred
+        ):
+            self.election_deferred = True
+            wait = max(heartbeat, min(delay_s, self.timing.election_timeout_s))
             self.election_due = max(self.election_due, now + wait)
 
     def _tick(self, now: float) -> None:
         if self.role is Role.LEADER:
             _replication.tick(self, now)
         elif now >= self.election_due:
-            _election.begin_prevote(self, now)
+            _election.start_pre_vote(self, now)
 
     def _receive(self, message: AgreementMessage, now: float) -> None:
         header = message.header
-        if not self._addressed_to_me(message):
+        if not self._is_addressee(message):
             return
         match message:
             case VoteRequest():
@@ -274,35 +278,35 @@
                 elif self.role is Role.LEADER and header.term == self.term:
                     _replication.on_reply(self, message, now)
 
-    def _addressed_to_me(self, message: AgreementMessage) -> bool:
-        """Refuse what was meant for a former incarnation.
+    def _is_addressee(self, message: AgreementMessage) -> bool:
+        """Return whether a message is for this member and incarnation.
 
-        A member that lost its disk must not vote or acknowledge as the
-        one that was asked. Only a question before the group is formed
-        may leave the incarnation open.
+        A member that lost its disk must not vote or acknowledge entries in
+        place of its former incarnation. Only a pre-vote request may omit the
+        incarnation, since it is unknown until the group is formed.
         """
         header = message.header
         if header.target != self.name:
             return False
         if header.target_incarnation == self.incarnation:
             return True
-        open_question = isinstance(message, VoteRequest) and message.pre
-        return open_question and not header.target_incarnation
+        is_pre_vote = isinstance(message, VoteRequest) and message.pre
+        return is_pre_vote and not header.target_incarnation
 
-    # Changes used by the other modules.
+    # State changes used by the other modules.
 
     def emit(self, effect: Effect) -> None:
-        """Add an effect that follows the writes and sends of this step."""
+        """Add an effect, executed after the writes and sends of this step."""
         self._effects.append(effect)
 
-    def reject(self, ticket: int, kind: ErrorKind, reason: str) -> None:
-        """Answer a request that took no effect."""
+    def reject(self, request_id: int, kind: ErrorKind, reason: str) -> None:
+        """Reject a request, which had no effect."""
         redirect = self.leader_address if kind is ErrorKind.NOT_LEADER else ""
         failure = Failure(kind, reason, redirect=redirect)
-        self.emit(Rejected(ticket, failure))
+        self.emit(Rejected(request_id, failure))
 
     def header_to(self, name: str, incarnation: str) -> Header:
-        """Return the header of a message of the current term."""
+        """Return a message header for the current term."""
         return Header(
             self.name, self.incarnation, name, incarnation, self.term
         )
@@ -312,14 +316,16 @@
         self._sends.append(Send(address, message))
 
     def reply_header(self, header: Header) -> Header:
-        """Return the header of an answer."""
+        """Return the header of a reply."""
         return self.header_to(header.sender, header.sender_incarnation)
 
     def set_hard_state(self, term: int, vote: str) -> None:
         """Change term and vote; a vote never changes within a term."""
-        require(term >= self.term, "term went back")
+        check_invariant(term >= self.term, "term decreased")
         if term == self.term:
-            require(self.vote in ("", vote), "second vote in one term")
+            check_invariant(
+                self.vote in ("", vote), "vote changed within a term"
+            )
         if (term, vote) != (self.term, self.vote):
             if term > self.term:
                 self.term_leader = None
@@ -332,27 +338,30 @@
         self._new_entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Remove entries of the log that the leader does not have."""
+        """Remove log entries that conflict with the leader's log."""
         self.log.truncate_from(index, self.commit)
         kept = [entry for entry in self._new_entries if entry.index < index]
         self._new_entries = kept
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace log and applied state by a leader's snapshot."""
-        require(snapshot.index > self.commit, "snapshot goes back")
+        """Install a snapshot of the leader as log and applied state."""
+        check_invariant(
+            snapshot.index > self.commit,
+            "snapshot is older than the commit index",
+        )
         self.log.install(snapshot)
         self.commit = self.applied = snapshot.index
         self.snapshot_pending = False
-        self._installed = self._saved = snapshot
+        self._snapshot_to_restore = self._snapshot_to_save = snapshot
 
     def become_follower(
         self, term: int, leader: Member | None, now: float
     ) -> None:
-        """Follow `leader`, or nobody yet, in a term at or above the own."""
+        """Become a follower in the given term, of `leader` if it is known."""
         if self.role is Role.LEADER:
             self.leader = None
-            _replication.abandon(self)
-            _election.reset_timer(self, now)
+            _replication.reject_pending_reads(self)
+            _election.reset_election_timer(self, now)
         if term > self.term:
             self.set_hard_state(term, "")
             self.leader = None
@@ -361,19 +370,25 @@
             known = self.term_leader or leader
             same = known.name == leader.name
             same = same and known.incarnation == leader.incarnation
-            require(same, "two leaders in one term")
+            check_invariant(same, "two leaders in one term")
             self.leader = self.term_leader = leader
-            self.leader_contact = now
-            _election.reset_timer(self, now)
+            self.leader_contact_at = now
+            _election.reset_election_timer(self, now)
 
     def _apply_committed(self) -> None:
-        require(self.commit <= self.log.last_index, "commit past the log")
-        require(self.applied <= self.commit, "applied past the commit")
+        check_invariant(
+            self.commit <= self.log.last_index,
+            "commit index exceeds the last log index",
+        )
+        check_invariant(
+            self.applied <= self.commit,
+            "applied index exceeds the commit index",
+        )
         for index in range(self.applied + 1, self.commit + 1):
             self.emit(Apply(self.log.entry(index)))
         self.applied = self.commit
-        covered = self.log.snapshot.index if self.log.snapshot else 0
-        due = self.applied - covered >= self.timing.snapshot_entries
+        snapshot_index = self.log.snapshot.index if self.log.snapshot else 0
+        due = self.applied - snapshot_index >= self.timing.snapshot_entries
         if due and not self.snapshot_pending:
             self.snapshot_pending = True
             self.emit(TakeSnapshot(self.applied))
@@ -382,29 +397,33 @@
         if not self.snapshot_pending:
             return
         self.snapshot_pending = False
-        require(index <= self.applied, "snapshot of entries not applied")
+        check_invariant(
+            index <= self.applied, "snapshot index exceeds the applied index"
+        )
         term = self.log.term_at(index)
         configuration = self.log.configuration_at(index)
         snapshot = Snapshot(index, term, configuration, data)
         keep_after = index - self.timing.snapshot_entries // 4
         self.log.compact(snapshot, keep_after)
-        self._saved = snapshot
+        self._snapshot_to_save = snapshot
 
-    def _collect(self) -> list[Effect]:
-        """Return the effects: writes first, then sends, then the rest."""
+    def _collect_effects(self) -> list[Effect]:
+        """Return the effects: writes first, then sends, then all others."""
         hard_state = HardState(self.term, self.vote)
         ordered: list[Effect] = []
-        if self._saved is not None:
-            kept = self.log.entries_after(self._saved.index)
-            ordered.append(SaveSnapshot(self._saved, hard_state, kept))
+        if self._snapshot_to_save is not None:
+            kept = self.log.entries_after(self._snapshot_to_save.index)
+            ordered.append(
+                SaveSnapshot(self._snapshot_to_save, hard_state, kept)
+            )
         elif self._hard_state_changed or self._new_entries:
             changed = hard_state if self._hard_state_changed else None
             ordered.append(Persist(changed, tuple(self._new_entries)))
-        if self._installed is not None:
-            ordered.append(Restore(self._installed))
+        if self._snapshot_to_restore is not None:
+            ordered.append(Restore(self._snapshot_to_restore))
         ordered += self._sends
         ordered += self._effects
         self._hard_state_changed = False
         self._new_entries, self._sends, self._effects = [], [], []
-        self._installed = self._saved = None
+        self._snapshot_to_restore = self._snapshot_to_save = None
         return ordered
--- a/chivescale/agreement/_messages.py
+++ b/chivescale/agreement/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between control hosts and the records of the log."""
+"""Messages between control hosts and entries of the log."""
 
 import msgspec
 
@@ -13,11 +13,11 @@
     Attributes
     ----------
     name, address : str
-        Name in the settings and ``ip:port`` of its control interface.
+        Name and ``ip:port`` address of its control interface.
     incarnation : str
-        Identifier of its data folder; empty before the group is formed.
+        Identifier of its data folder; empty until the group is formed.
     voter : bool
-        False for a learner, which receives the log but does not count.
+        False for a learner, which receives the log but has no vote.
     """
 
     name: str
@@ -33,21 +33,21 @@
 
     @property
     def formed(self) -> bool:
-        """Whether every member is bound to an incarnation."""
+        """Whether the incarnation of every member is known."""
         return all(member.incarnation for member in self.members)
 
     @property
     def voters(self) -> tuple[Member, ...]:
-        """Members that count towards a quorum."""
+        """Members that count towards the quorum."""
         return tuple(member for member in self.members if member.voter)
 
     @property
     def quorum(self) -> int:
-        """Number of voters that decides."""
+        """Number of voters in a majority."""
         return len(self.voters) // 2 + 1
 
     def find(self, name: str, incarnation: str | None = None) -> Member | None:
-        """Return the member of that name (and incarnation, if given)."""
+        """Return the member with a name and, if given, an incarnation."""
         for member in self.members:
             if member.name == name:
                 same = incarnation in (None, member.incarnation)
@@ -55,18 +55,18 @@
         return None
 
     def with_member(self, member: Member) -> "Configuration":
-        """Return a copy with the member of that name added or replaced."""
+        """Return a copy in which a member is added or replaced by name."""
         rest = [m for m in self.members if m.name != member.name]
         ordered = sorted([*rest, member], key=lambda m: m.name)
         return Configuration(tuple(ordered))
 
     def without(self, name: str) -> "Configuration":
-        """Return a copy without the member of that name."""
+        """Return a copy without the named member."""
         return Configuration(tuple(m for m in self.members if m.name != name))
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One record of the replicated log."""
+    """One entry of the replicated log."""
 
     index: int
     term: int
@@ -75,7 +75,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """State after the entry at `index`, which replaces the log up to it."""
+    """State after the entry at `index`; replaces the log up to it."""
 
     index: int
     term: int
@@ -84,10 +84,10 @@
 
 
 class Header(msgspec.Struct, frozen=True, array_like=True):
-    """Sender, addressee and term of a message.
+    """Sender, target and term of a message.
 
     `target_incarnation` is empty only in requests sent before the sender
-    knows the addressee's incarnation.
+    knows the incarnation of the target.
     """
 
     sender: str
@@ -98,16 +98,16 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag=True):
-    """Asks for a vote in `vote_term`, or whether one would be given.
+    """Requests a vote or pre-vote in `vote_term`.
 
     Attributes
     ----------
     pre : bool
-        Only asks; neither side changes its term.
+        Whether this is a pre-vote, which changes no term or vote.
     forming : Configuration or None
-        First configuration that the candidate would write.
+        Initial configuration that the candidate proposes.
     unformed : bool
-        Whether the candidate has no configuration yet.
+        Whether the candidate does not belong to a formed group yet.
     address : str
         Address of the candidate.
     """
@@ -123,7 +123,7 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, tag=True):
-    """Answer to `VoteRequest`."""
+    """Reply to `VoteRequest`."""
 
     header: Header
     pre: bool
@@ -133,7 +133,7 @@
 
 
 class AppendRequest(msgspec.Struct, frozen=True, tag=True):
-    """Entries after `prev_index`; without entries, a heartbeat."""
+    """Entries after `prev_index`; a heartbeat if there are none."""
 
     header: Header
     prev_index: int
@@ -144,15 +144,15 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, tag=True):
-    """Answer to `AppendRequest` and `SnapshotRequest`.
+    """Reply to `AppendRequest` and `SnapshotRequest`.
 
     Attributes
     ----------
     prev_index, round : int
-        As in the request.
+        Copied from the request.
     match_index : int
-        If `ok`: the sender's log equals the leader's up to here.
-        Otherwise: the highest index at which it may.
+        If `ok`, the index up to which the sender's log matches the
+        leader's. Otherwise, the highest index at which it may match.
     """
 
     header: Header
@@ -163,7 +163,7 @@
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, tag=True):
-    """Snapshot for a member whose next entry is no longer kept."""
+    """Snapshot for a member whose next entry has been compacted."""
 
     header: Header
     snapshot: Snapshot
--- a/chivescale/agreement/_peers.py
+++ b/chivescale/agreement/_peers.py
@@ -1,4 +1,4 @@
-"""Delivery of messages to the other members."""
+"""Sends messages to the other members."""
 
 import asyncio
 import collections.abc
@@ -19,40 +19,44 @@
     from chivescale.transport import Client
 
 SNAPSHOT_TIMEOUT_S = 5.0
-# Transfer time that a batch is given beyond the usual timeout; 10 MB/s is
-# far below what the hosts reach.
+# Additional timeout per byte of a batch. This corresponds to 10 MB/s, which is
+# far below the throughput between hosts.
 SECONDS_PER_BYTE = 1e-7
 
 
 class Peer(msgspec.Struct):
-    """Calls under way to one member.
+    """State of the calls to one member.
 
     Attributes
     ----------
-    silent : bool
-        Whether the last call timed out. Then only one call is made at a
-        time, over a fresh connection: the pooled ones may never answer
-        again although new ones work.
+    active_calls : int
+        Calls in progress, except snapshots.
+    timed_out : bool
+        Whether the last call timed out. If so, only one call is made at a
+        time, over a new connection, since pooled connections may be dead
+        while new ones work.
+    reachable : bool
+        Whether the last call succeeded.
     """
 
-    calls: int = 0
-    silent: bool = False
+    active_calls: int = 0
+    timed_out: bool = False
     reachable: bool = True
 
 
 class Peers:
-    """Sends messages and hands over the answers.
+    """Sends messages and passes on the replies.
 
     Parameters
     ----------
     client : Client
         Transport.
     timing : Timing
-        An ordinary message that is not answered within the election
-        timeout less one heartbeat is given up, so that another one can
-        arrive in time on another connection.
+        A call other than a snapshot times out one heartbeat interval before
+        the election timeout, so that another message can still arrive in
+        time over a new connection.
     on_event : callable
-        Handles the events of the state machine that follow from a call.
+        Receives the events for the state machine that result from a call.
     """
 
     def __init__(
@@ -68,19 +72,21 @@
         self.tasks: set[asyncio.Task] = set()
 
     def send(self, address: str, message: AgreementMessage) -> None:
-        """Send a message; it may be lost."""
+        """Send a message without delivery guarantee."""
         peer = self.peers.setdefault(address, Peer())
-        # A snapshot takes long; heartbeats must not wait for it.
-        counted = not isinstance(message, SnapshotRequest)
-        if counted and peer.silent and peer.calls:
-            asyncio.get_running_loop().call_soon(self._report_loss, message)
+        # A snapshot transfer is slow and must not block heartbeats.
+        limited = not isinstance(message, SnapshotRequest)
+        if limited and peer.timed_out and peer.active_calls:
+            asyncio.get_running_loop().call_soon(
+                self._report_undelivered, message
+            )
             return
-        peer.calls += counted
+        peer.active_calls += limited
         task = asyncio.ensure_future(self._call(address, peer, message))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _report_loss(self, message: AgreementMessage) -> None:
+    def _report_undelivered(self, message: AgreementMessage) -> None:
         if isinstance(message, AppendRequest | SnapshotRequest):
             self.on_event(Undelivered(message))
 
@@ -95,12 +101,12 @@
                 AgreementMessage,
                 message,
                 timeout_s=self._timeout_s(message),
-                fresh=peer.silent,
+                fresh=peer.timed_out,
             )
         finally:
-            peer.calls -= not isinstance(message, SnapshotRequest)
+            peer.active_calls -= not isinstance(message, SnapshotRequest)
         failed = is_failure(answer)
-        peer.silent = failed and answer.kind is ErrorKind.TIMEOUT
+        peer.timed_out = failed and answer.kind is ErrorKind.TIMEOUT
         if failed == peer.reachable:
             peer.reachable = not failed
             reason = answer.reason if failed else ""
@@ -108,7 +114,7 @@
                 "peer", address=address, reachable=not failed, reason=reason
             )
         if failed:
-            self._report_loss(message)
+            self._report_undelivered(message)
         else:
             self.on_event(Received(answer))
 
@@ -121,7 +127,7 @@
         return self.timeout_s + size * SECONDS_PER_BYTE
 
     async def close(self) -> None:
-        """Cancel the calls under way."""
+        """Cancel all calls in progress."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/chivescale/agreement/_records.py
+++ b/chivescale/agreement/_records.py
@@ -1,7 +1,7 @@
 """Format of the files in the data folder.
 
 A file is a sequence of records. Each record is written with one call and
-synced before the next one is written, so only the last one can be torn.
+synced before the next one is written, so only the last record can be torn.
 """
 
 import struct
@@ -12,14 +12,14 @@
 from chivescale.agreement._events import HardState
 from chivescale.agreement._messages import Entry, Snapshot
 
-# Magic, payload length, CRC of the payload; then the CRC of these fields.
-_FIELDS = struct.Struct("<4sII")
-_CHECK = struct.Struct("<I")
+# Magic, payload length and payload CRC, followed by the CRC of these fields.
+_HEADER_FIELDS = struct.Struct("<4sII")
+_HEADER_CRC = struct.Struct("<I")
 MAGIC = b"CHV1"
-# Neither head nor end of a record is a zero byte, so that a sector that
-# never reached the disk shows as one that holds only zeros.
+# A record neither starts nor ends with a zero byte, so that a sector that was
+# never written to disk is recognized as all zeros.
 TRAILER = b"\xa5"
-HEADER_BYTES = _FIELDS.size + _CHECK.size
+HEADER_BYTES = _HEADER_FIELDS.size + _HEADER_CRC.size
 SECTOR_BYTES = 512
 
 
@@ -31,7 +31,7 @@
     incarnation : str
         Identifier of the data folder.
     base_index : int
-        Entries up to here are in the snapshot.
+        Entries up to this index are in the snapshot.
     """
 
     incarnation: str
@@ -39,7 +39,7 @@
 
 
 class Batch(msgspec.Struct, frozen=True, tag=True):
-    """Later records of the log file: what one step stored."""
+    """Record of the log file with the data stored by one step."""
 
     hard_state: HardState | None
     entries: tuple[Entry, ...]
@@ -59,28 +59,28 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Return the bytes of a record."""
+    """Encode a record."""
     payload = _encoder.encode(record)
-    fields = _FIELDS.pack(MAGIC, len(payload), zlib.crc32(payload))
-    check = _CHECK.pack(zlib.crc32(fields))
-    return b"".join((fields, check, payload, TRAILER))
+    fields = _HEADER_FIELDS.pack(MAGIC, len(payload), zlib.crc32(payload))
+    header_crc = _HEADER_CRC.pack(zlib.crc32(fields))
+    return b"".join((fields, header_crc, payload, TRAILER))
 
 
-class Scan(msgspec.Struct):
-    """Records of a file up to the first fault.
+class ScanResult(msgspec.Struct):
+    """Records of a file up to the first invalid one.
 
     Attributes
     ----------
     records : list of Record
-        Intact records.
+        Valid records.
     offsets : list of int
-        Where each of them starts.
+        Start of each record.
     offset : int
-        End of the intact part.
+        End of the last valid record.
     torn_bytes : int
-        Length of a torn record after it.
+        Length of the torn record at `offset`; 0 without one.
     corrupt : str
-        What is wrong at `offset`, if it cannot be a torn record.
+        Error at `offset` if it is not a torn record; otherwise empty.
     """
 
     records: list[Record] = msgspec.field(default_factory=list)
@@ -90,68 +90,68 @@
     corrupt: str = ""
 
 
-def scan_records(data: bytes) -> Scan:
-    """Read records until the end or the first fault.
+def scan_records(data: bytes) -> ScanResult:
+    """Decode records up to the end or the first invalid record.
 
-    A torn record is one that is cut short or that has a sector of zeros,
-    and that nothing follows. Any other fault is reported as corruption:
-    the record may have been acknowledged, and dropping it could undo a
-    vote or a committed entry.
+    An invalid record is torn if it is truncated or contains a sector of
+    zeros, and no valid record follows it. Any other invalid record is
+    reported as corrupt: it may have been acknowledged, and discarding it
+    could revoke a vote or a committed entry.
     """
-    scan = Scan()
+    scan = ScanResult()
     while scan.offset < len(data):
-        found = _read(data, scan.offset)
-        if isinstance(found, str):
-            _classify(scan, data, found)
+        result = _read_record(data, scan.offset)
+        if isinstance(result, str):
+            _record_fault(scan, data, result)
             return scan
         scan.offsets.append(scan.offset)
-        record, scan.offset = found
+        record, scan.offset = result
         scan.records.append(record)
     return scan
 
 
-def _read(data: bytes, offset: int) -> tuple[Record, int] | str:
-    body = offset + HEADER_BYTES
-    if body > len(data):
-        return "record header is cut short"
-    fields = data[offset : offset + _FIELDS.size]
-    magic, length, checksum = _FIELDS.unpack(fields)
-    (check,) = _CHECK.unpack_from(data, offset + _FIELDS.size)
-    if magic != MAGIC or check != zlib.crc32(fields):
-        return "record header is invalid"
-    end = body + length
+def _read_record(data: bytes, offset: int) -> tuple[Record, int] | str:
+    payload_start = offset + HEADER_BYTES
+    if payload_start > len(data):
+        return "record header is truncated"
+    fields = data[offset : offset + _HEADER_FIELDS.size]
+    magic, length, payload_crc = _HEADER_FIELDS.unpack(fields)
+    (header_crc,) = _HEADER_CRC.unpack_from(data, offset + _HEADER_FIELDS.size)
+    if magic != MAGIC or header_crc != zlib.crc32(fields):
+        return "record header has an invalid magic or checksum"
+    end = payload_start + length
     if end + len(TRAILER) > len(data):
-        return "record is cut short"
-    payload = data[body:end]
-    if zlib.crc32(payload) != checksum:
-        return "record checksum differs"
+        return "record is truncated"
+    payload = data[payload_start:end]
+    if zlib.crc32(payload) != payload_crc:
+        return "record checksum does not match"
     if data[end : end + len(TRAILER)] != TRAILER:
-        return "record has no end mark"
+        return "record trailer is missing"
     try:
         return _decoder.decode(payload), end + len(TRAILER)
     except msgspec.MsgspecError as err:
         return f"record cannot be decoded: {err}"
 
 
-def _classify(scan: Scan, data: bytes, fault: str) -> None:
-    if _is_torn(data, scan.offset, fault):
+def _record_fault(scan: ScanResult, data: bytes, reason: str) -> None:
+    if _is_torn(data, scan.offset, reason):
         scan.torn_bytes = len(data) - scan.offset
     else:
-        scan.corrupt = fault
+        scan.corrupt = reason
 
 
-def _is_torn(data: bytes, offset: int, fault: str) -> bool:
+def _is_torn(data: bytes, offset: int, reason: str) -> bool:
     if _intact_record_after(data, offset):
         return False
-    return fault.endswith("cut short") or _has_zero_sector(data, offset)
+    return reason.endswith("truncated") or _has_zero_sector(data, offset)
 
 
 def _intact_record_after(data: bytes, offset: int) -> bool:
-    at = data.find(MAGIC, offset + 1)
-    while at != -1:
-        if not isinstance(_read(data, at), str):
+    position = data.find(MAGIC, offset + 1)
+    while position != -1:
+        if not isinstance(_read_record(data, position), str):
             return True
-        at = data.find(MAGIC, at + 1)
+        position = data.find(MAGIC, position + 1)
     return False
 
 
--- a/chivescale/agreement/_roster.py
+++ b/chivescale/agreement/_roster.py
@@ -1,99 +1,104 @@
-"""Decides which members a group without an operator admits and retires."""
+"""Automatic membership changes for groups without an operator."""
 
 import msgspec
 
 from chivescale.agreement._messages import Configuration, Member
 
-# A voter that has been silent for this long is retired once a successor has
-# been admitted meanwhile.
-RETIRE_AFTER_S = 1.0
-# Without a successor it is retired only after a loss that nobody expects to
-# end, and never below the smallest group that survives one loss.
-RETIRE_WITHOUT_SUCCESSOR_S = 20.0
-SMALLEST_GROUP = 3
+# An unreachable voter is removed after this time if a replacement has been
+# admitted.
+RETIRE_REPLACED_AFTER_S = 1.0
+# Without a replacement it is removed only after this longer time, when it is
+# not expected to return, and only while more voters remain than the smallest
+# group that tolerates the loss of one.
+RETIRE_UNREPLACED_AFTER_S = 20.0
+MIN_VOTERS = 3
 
 
 class Admit(msgspec.Struct, frozen=True):
-    """Admit the incarnation that called under this name."""
+    """Admit the latest incarnation of a member or a new member."""
 
     name: str
 
 
 class Retire(msgspec.Struct, frozen=True):
-    """Take a member out of the group."""
+    """Remove a member from the group."""
 
     name: str
 
 
 class Roster:
-    """Plans one change of members at a time during one leadership.
+    """Plans single membership changes during one leadership.
 
     Attributes
     ----------
-    size : int
-        Voters that the group is meant to have. It grows with members that
-        join while no voter is silent; one that joins while a voter is
-        silent is taken for its successor.
+    target_voters : int
+        Intended number of voters. It grows with members that join while all
+        voters are reachable. A member that joins while a voter is
+        unreachable counts as its replacement.
+    unreachable_since : dict of str to float
+        Time since which a voter has been unreachable, by name.
     """
 
     def __init__(self):
-        self.size = 0
-        self.silent_since: dict[str, float] = {}
+        self.target_voters = 0
+        self.unreachable_since: dict[str, float] = {}
 
     def plan(
         self,
         own: str,
         configuration: Configuration,
-        callers: dict[str, Member],
+        applicants: dict[str, Member],
         reachable: set[str],
         now: float,
     ) -> Admit | Retire | None:
-        """Return the next change.
+        """Return the next membership change, if any.
 
-        A member that returned with an empty disk replaces its former
-        incarnation, and one with a new name is added. Once the group has
-        more voters than it is meant to have, the one that has been silent
-        for longest is retired.
+        A member that returns with an empty disk replaces its former
+        incarnation. A member with a new name is added. If the group has
+        more voters than intended, the voter that has been unreachable for
+        longest is removed.
 
         Parameters
         ----------
         own : str
             Name of the leader.
         configuration : Configuration
-            Members in use.
-        callers : dict of str to Member
-            Incarnations that asked to be admitted.
+            Current configuration.
+        applicants : dict of str to Member
+            Incarnations that have requested admission, by name.
         reachable : set of str
-            Members that answered within the election timeout.
+            Members that replied within the election timeout.
         now : float
-            Seconds.
+            Monotonic time in seconds.
         """
         voters = len(configuration.voters)
-        self._note_silence(own, configuration, reachable, now)
-        if not self.size or not self.silent_since:
-            self.size = max(self.size, voters)
-        for name in sorted(callers):
+        self._update_unreachable(own, configuration, reachable, now)
+        if not self.target_voters or not self.unreachable_since:
+            self.target_voters = max(self.target_voters, voters)
+        for name in sorted(applicants):
             member = configuration.find(name)
             if member is None or name not in reachable:
                 return Admit(name)
         if len(configuration.members) > voters:
-            # A learner is about to become a voter.
+            # Wait until the learner has become a voter.
             return None
         return self._retire(voters, now)
 
     def _retire(self, voters: int, now: float) -> Retire | None:
-        if not self.silent_since or voters <= SMALLEST_GROUP:
+        if not self.unreachable_since or voters <= MIN_VOTERS:
             return None
-        since, name = min((at, n) for n, at in self.silent_since.items())
-        bound = RETIRE_AFTER_S
-        if voters <= self.size:
-            bound = RETIRE_WITHOUT_SUCCESSOR_S
-        return Retire(name) if now - since >= bound else None
-
-    def _note_silence(self, own, configuration, reachable, now: float) -> None:
+        since, name = min((at, n) for n, at in self.unreachable_since.items())
+        timeout_s = RETIRE_REPLACED_AFTER_S
+        if voters <= self.target_voters:
+            timeout_s = RETIRE_UNREPLACED_AFTER_S
+        return Retire(name) if now - since >= timeout_s else None
+
+    def _update_unreachable(
+        self, own, configuration, reachable, now: float
+    ) -> None:
         names = {member.name for member in configuration.voters} - {own}
-        for name in list(self.silent_since):
+        for name in list(self.unreachable_since):
             if name not in names or name in reachable:
-                del self.silent_since[name]
+                del self.unreachable_since[name]
         for name in names - reachable:
-            self.silent_since.setdefault(name, now)
+            self.unreachable_since.setdefault(name, now)
--- a/chivescale/agreement/tests/agreement.feature
+++ b/chivescale/agreement/tests/agreement.feature
@@ -1,12 +1,12 @@
 Feature: Agreement among control hosts
-  Guards against lost or changed committed entries, two leaders, reads of
-  old state, and a group that stays without a leader.
+  Guards against lost or changed committed entries, two leaders in a term,
+  stale reads, and a group that elects no leader.
 
   Scenario: Random faults
-    Then 60 random runs of up to 120 actions keep every promise
+    Then 60 random runs of up to 120 actions violate no invariant
 
   Scenario Outline: Fixed seeds with many faults
-    Then the random run with seed <seed> and <steps> actions keeps every promise
+    Then the random run with seed <seed> and <steps> actions violates no invariant
 
     Examples:
       | seed | steps |
@@ -28,20 +28,20 @@
       | c0 c1    |
       | c0 c1 c2 |
 
-  Scenario: Lost disks right after forming do not allow a second group
+  Scenario: Disks lost right after formation do not allow a second group
     Given a formed group
-    And members c3 c4 are isolated together with the first follower
+    And members c3 c4 and the first follower are isolated from the others
     When the first follower loses its disk and restarts
     And 5 s pass
-    Then only members that kept the group's log have led
+    Then only members with the group's log have been leaders
     When all faults end
-    Then everyone agrees and nothing is lost
+    Then all members agree and no command is lost
 
   Scenario Outline: Two members of five are lost
     Given a formed group with 20 commands
     When members <lost> crash
     Then a command is accepted within 1 s
-    And everyone agrees and nothing is lost
+    And all members agree and no command is lost
 
     Examples:
       | lost            |
@@ -55,7 +55,7 @@
     And members <first> are replaced and vote
     And members <second> crash
     Then a command is accepted within 1 s
-    And everyone agrees and nothing is lost
+    And all members agree and no command is lost
 
     Examples:
       | first    | second           |
@@ -63,17 +63,17 @@
       | follower | leader follower2 |
       | leader   | follower         |
 
-  Scenario: An acknowledged entry survives a crash right after the answer
+  Scenario: An acknowledged entry survives a crash right after the reply
     Given a formed group with 20 commands
     When members follower3 follower4 crash
-    And members follower1 follower2 crash right after the next answer
+    And members follower1 follower2 crash right after the next reply
     And a command is acknowledged by the leader
     And members leader crash
     And members follower1 follower2 follower3 follower4 are started
     Then a command is accepted within 1 s
-    And everyone agrees and nothing is lost
+    And all members agree and no command is lost
 
-  Scenario: A member without its disk neither votes nor counts
+  Scenario: A member that lost its disk neither votes nor acknowledges
     Given a formed group with 20 commands
     When members follower3 follower4 crash
     And a command is acknowledged by the leader
@@ -84,29 +84,29 @@
     Then no member leads
     When every member is started
     Then a member leads within 2 s
-    And the member without its disk is no voter
-    And everyone agrees and nothing is lost
+    And the member that lost its disk is not a voter
+    And all members agree and no command is lost
 
-  Scenario Outline: A request to a former incarnation is not answered
+  Scenario Outline: A request to a former incarnation gets no reply
     When a member receives a <request> for its former incarnation
-    Then it sends no answer and stores nothing
+    Then it sends no reply and stores nothing
 
     Examples:
       | request |
       | vote    |
       | append  |
 
-  Scenario: A replacement is refused while the former member answers
+  Scenario: A replacement is rejected while the former member responds
     Given a formed group with 20 commands
-    When a replacement of a healthy member is asked for
-    Then the change is refused and all members still vote
+    When the replacement of a healthy member is requested
+    Then the change is rejected and all members are still voters
 
-  Scenario: The group grows by a member and loses another
+  Scenario: One member is added and another one is removed
     Given a formed group with 20 commands
-    When a host c5 that names all members is started and admitted
+    When a host c5 with all members in its settings is started and admitted
     And member follower is removed
     Then the group has 5 voters, c5 among them
-    And everyone agrees and nothing is lost
+    And all members agree and no command is lost
     When members leader c5 crash
     Then a command is accepted within 1 s
 
@@ -116,9 +116,9 @@
     And 600 commands are committed
     And every member is started
     Then the returned member catches up through a snapshot
-    And everyone agrees and nothing is lost
+    And all members agree and no command is lost
 
-  Scenario: A leader isolated for long returns
+  Scenario: A leader returns after a long isolation
     Given a formed group with 20 commands
     When the leader is isolated
     And 1 s pass
@@ -126,12 +126,12 @@
     When 600 s pass
     And all faults end
     And 3 s pass
-    Then the term has not changed since the isolation began a new one
-    And everyone agrees and nothing is lost
+    Then the term has not changed since the election of the second leader
+    And all members agree and no command is lost
 
   Scenario Outline: A member that returns does not depose the leader
     Given a formed group with 20 commands
-    When members follower are cut off in direction <direction>
+    When links of the follower are cut in direction <direction>
     And 60 s pass
     Then the leader and its term are unchanged
     When all faults end
@@ -152,11 +152,11 @@
     When a quorum acknowledges the first entry of the leader's own term
     Then both entries are committed
 
-  Scenario: A leader paused longer than the election timeout confirms nothing
+  Scenario: A leader paused longer than the election timeout confirms no read
     Given a formed group with 20 commands
     When the leader is frozen for 2 s
     And a command is accepted on another leader
-    And the frozen leader is asked for a read the moment it resumes
+    And the frozen leader receives a read as soon as it resumes
     And 3 s pass
     Then the read was not confirmed by the former leader
 
@@ -166,25 +166,25 @@
     And 3 s pass
     Then the leader and its term are unchanged
 
-    Examples: a busy machine lets no process run; the election timeout is 250
+    Examples: no process is scheduled on a busy machine; election timeout 250 ms
       | ms   | spread |
       | 120  | 20     |
       | 300  | 40     |
       | 600  | 100    |
       | 2000 | 150    |
 
-  Scenario: A paused leader that is cut off is excused once
+  Scenario: A paused, isolated leader suspends the quorum check only once
     Given a formed group with 20 commands
     When the leader is isolated
     And the leader is frozen for 2 s
     And 2.6 s pass
     Then the isolated member does not lead and confirms no read
 
-  Scenario: A leader that was paused does not claim contact with a quorum
+  Scenario: A leader that was paused reports no recent quorum contact
     Given a formed group with 20 commands
     When the leader is frozen for 2 s
     And a command is accepted on another leader
-    Then the frozen leader's contact is over 1 s old the moment it resumes
+    Then the frozen leader's last contact is over 1 s old as soon as it resumes
 
   Scenario: The next leader is elected in time
-    Then over 200 seeds a crashed leader is followed within 400 ms
+    Then for 200 seeds a crashed leader is replaced within 400 ms
--- a/chivescale/agreement/tests/durable.feature
+++ b/chivescale/agreement/tests/durable.feature
@@ -1,29 +1,29 @@
 Feature: Durable log
-  Guards against a start that forgets a vote or an acknowledged entry, takes
-  damaged records for good ones, or shares a data folder.
+  Guards against a start that loses a vote or an acknowledged entry, accepts
+  corrupt records as valid, or shares a data folder with another process.
 
-  Scenario: A restart finds what was stored
+  Scenario: A restart recovers the stored data
     Given a log with a replaced tail and a snapshot
-    Then a restart finds the term, the vote and the entries after the snapshot
+    Then a restart recovers the term, the vote and the entries after the snapshot
 
-  Scenario: A log cut at any byte keeps every complete record
+  Scenario: A log truncated at any byte keeps every complete record
     Given a log of 6 records
-    Then cut at any length it recovers the complete records and goes on
+    Then cut at any length it recovers the complete records and accepts new ones
 
-  Scenario: A sector that never reached the disk is a torn record
+  Scenario: A sector that was never written to disk is a torn record
     Given a log of 6 records
-    When a record is written of which the last sector holds zeros
+    When a record is written whose last sector contains only zeros
     Then a restart recovers 6 records
 
-  Scenario: A changed byte is never taken for good
+  Scenario: A changed byte is detected as corruption
     Given a log of 6 records
-    Then with any byte changed the start is refused with file and offset
+    Then with any byte changed the start fails and names file and offset
 
-  Scenario Outline: Damage that is no torn record
+  Scenario Outline: Corruption other than a torn record
     Given a log with a replaced tail and a snapshot
     When the folder is damaged: <damage>
-    Then the start is refused as corrupt, naming <file>
-    And the check of the folder reports the same and changes nothing
+    Then the start fails with storage_corrupt and names <file>
+    And checking the folder reports the same error and changes nothing
 
     Examples:
       | damage                 | file               |
@@ -36,20 +36,20 @@
       | zeros before a record  | agreement.log      |
       | random bytes at end    | agreement.log      |
 
-  Scenario: A lost disk is a new incarnation
+  Scenario: A lost disk leads to a new incarnation
     Given a log of 6 records
     When the folder is lost
-    Then a start finds nothing and has another incarnation
+    Then a start recovers no data and has another incarnation
 
   Scenario: Two processes on one folder
     Given a log of 6 records
     When another process has the folder open
-    Then the start is refused with storage_failed
+    Then the start fails with storage_failed
 
   Scenario Outline: A failing disk
     Given a log of 6 records
     When the disk fails with <error> on <call> while a record is stored
-    Then this and every later record is refused with storage_failed
+    Then storing this and every later record fails with storage_failed
     And a restart recovers at least 6 records
 
     Examples:
@@ -57,5 +57,5 @@
       | ENOSPC | write |
       | EIO    | fsync |
 
-  Scenario: A crash at any point of a snapshot
-    Then a crash at any call while a snapshot is stored loses nothing
+  Scenario: A crash at any point while storing a snapshot
+    Then a crash at any system call while a snapshot is stored loses no data
--- a/chivescale/agreement/tests/fake_disk.py
+++ b/chivescale/agreement/tests/fake_disk.py
@@ -1,4 +1,4 @@
-"""Disk of a member in the in-memory network."""
+"""Simulated disk of a member."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Disk(msgspec.Struct):
-    """What survives a restart of one member."""
+    """Data of one member that survives a restart."""
 
     incarnation: str
     hard_state: ag.HardState = ag.HardState()
@@ -21,7 +21,7 @@
             self.entries.append(entry)
 
     def recovered(self) -> ag.Recovered:
-        """Return what a start finds."""
+        """Return the state that a member recovers at start."""
         return ag.Recovered(
             self.incarnation,
             self.hard_state,
@@ -30,7 +30,7 @@
         )
 
     def check_stored(self, message) -> None:
-        """What a message acknowledges must survive a crash."""
+        """Check that the data a message acknowledges is stored."""
         term = message.header.term
         assert self.hard_state.term == term, (
             "sent in a term that is not stored"
@@ -46,7 +46,7 @@
             assert last >= message.match_index, "entry is not stored"
 
     def configurations(self) -> list[ag.Configuration]:
-        """Return every configuration on a disk, committed or not."""
+        """Return all configurations on the disk, committed or not."""
         found = [self.snapshot.configuration] if self.snapshot else []
         decode = msgspec.msgpack.decode
         found += [
--- a/chivescale/agreement/tests/fakes.py
+++ b/chivescale/agreement/tests/fakes.py
@@ -1,9 +1,10 @@
-"""In-memory network, disks and clocks for several `Agreement` machines.
+"""Simulated network, disks and clocks for several `Agreement` machines.
 
-Everything is driven by one seed. The world checks while it runs that
-committed entries agree on all members, that a term has one leader, that
-confirmed reads see every write acknowledged before them, and at the end
-that no acknowledged write is lost and that the healed group makes progress.
+A single seed determines the whole run. During the run, the simulation checks
+that committed entries agree on all members, that each term has one leader and
+that confirmed reads include every write acknowledged before them. At the end,
+it checks that no acknowledged write is lost and that the group makes progress
+once all faults have ended.
 """
 
 import collections.abc
@@ -19,14 +20,15 @@
 
 NAMES = ("c0", "c1", "c2", "c3", "c4")
 TIMING = ag.Timing(snapshot_entries=40)
-# Time for a healed group to elect, readmit two members and catch up; an
-# election needs under 0.4 s, a lost snapshot is repeated after 5 s.
-HEAL_S = 20.0
-CALL_LIMIT_S = 0.2
+# Time for a group without faults to elect a leader, readmit two members and
+# catch up. An election takes less than 0.4 s, and a lost snapshot is sent
+# again after 5 s.
+RECOVERY_TIMEOUT_S = 20.0
+CALL_TIMEOUT_S = 0.2
 
 
 class Host(msgspec.Struct):
-    """One member: its disk, its machine while it runs, its state."""
+    """One member with its disk, its running machine and its state."""
 
     name: str
     disk: Disk
@@ -40,12 +42,12 @@
 
 
 class World:
-    """Members, the network between them and the checks.
+    """Simulates the members and the network and checks invariants.
 
     Parameters
     ----------
     seed : int
-        Source of every random choice.
+        Seed of all random choices.
     names : tuple of str
         Initial members.
     """
@@ -54,18 +56,18 @@
         self.rng = random.Random(seed)
         self.now = 0.0
         self.names = names
-        self.numbers = itertools.count(1)
+        self.ids = itertools.count(1)
         self.queue: list = []
-        self.cuts: set[tuple[str, str]] = set()
-        self.loss = 0.0
-        self.duplication = 0.0
+        self.blocked_links: set[tuple[str, str]] = set()
+        self.loss_rate = 0.0
+        self.duplication_rate = 0.0
         self.reordering = False
-        self.crash_chance = 0.0
+        self.crash_rate = 0.0
         self.committed: dict[int, ag.Entry] = {}
         self.leaders: dict[int, str] = {}
         self.acknowledged: dict[bytes, int] = {}
         self.pending: dict[tuple[str, int], tuple] = {}
-        self.tickets: dict[int, tuple] = {}
+        self.requests: dict[int, tuple] = {}
         self.confirmed_reads = 0
         self.deliveries = 0
         self.hosts: dict[str, Host] = {}
@@ -73,9 +75,9 @@
             self.add_host(name, names)
 
     def add_host(self, name: str, members: tuple[str, ...]) -> None:
-        """Start a host whose settings name `members`."""
+        """Add and start a host with `members` in its settings."""
         initial = ag.Configuration(tuple(ag.Member(n, n) for n in members))
-        disk = Disk(f"{name}-{next(self.numbers)}")
+        disk = Disk(f"{name}-{next(self.ids)}")
         # Clock rates differ by up to 1% (section 2.12 of the design).
         rate = self.rng.uniform(0.995, 1.005)
         self.hosts[name] = Host(name, disk, rate, initial)
@@ -96,17 +98,17 @@
         self._step(host, ag.Tick())
 
     def crash(self, name: str) -> None:
-        """Stop a member; only its disk remains."""
+        """Stop a member; it keeps only its disk."""
         self.hosts[name].machine = None
         self.hosts[name].wakeup = math.inf
 
-    def wipe(self, name: str) -> None:
-        """Stop a member and lose its disk."""
+    def replace_disk(self, name: str) -> None:
+        """Stop a member and replace its disk by an empty one."""
         self.crash(name)
-        self.hosts[name].disk = Disk(f"{name}-{next(self.numbers)}")
+        self.hosts[name].disk = Disk(f"{name}-{next(self.ids)}")
 
-    def wipe_is_survivable(self, name: str) -> bool:
-        """Tell whether every known configuration keeps a quorum of disks."""
+    def replacement_is_survivable(self, name: str) -> bool:
+        """Return whether a quorum of disks remains in each configuration."""
         kept = {
             (host.name, host.disk.incarnation)
             for host in self.hosts.values()
@@ -122,19 +124,19 @@
         return True
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Pause a member; what arrives meanwhile waits."""
+        """Pause a member; messages that arrive during the pause wait."""
         self.hosts[name].frozen_until = self.now + seconds
 
     def isolate(self, *group: str) -> None:
-        """Cut the members of a group off from all others."""
-        for inside in group:
-            for outside in set(self.names) - set(group):
-                self.cuts |= {(inside, outside), (outside, inside)}
-
-    def heal(self) -> None:
-        """End every fault and start every member."""
-        self.cuts.clear()
-        self.loss = self.duplication = self.crash_chance = 0.0
+        """Cut all links between a group of members and the others."""
+        for member in group:
+            for other in set(self.names) - set(group):
+                self.blocked_links |= {(member, other), (other, member)}
+
+    def end_faults(self) -> None:
+        """End all faults and start all members."""
+        self.blocked_links.clear()
+        self.loss_rate = self.duplication_rate = self.crash_rate = 0.0
         self.reordering = False
         for host in self.hosts.values():
             host.frozen_until = 0.0
@@ -143,7 +145,7 @@
     # Requests.
 
     def leader(self) -> Host | None:
-        """Return the ready leader of the highest term."""
+        """Return the ready leader with the highest term."""
         ready = [
             host
             for host in self.hosts.values()
@@ -156,49 +158,49 @@
         host = self.hosts[name] if name else self.leader()
         if host is None or host.machine is None:
             return []
-        commands = [b"command-%d" % next(self.numbers) for _ in range(count)]
-        ticket = next(self.numbers)
-        self.tickets[ticket] = tuple(commands)
-        self._step(host, ag.Propose(ticket, tuple(commands)))
+        commands = [b"command-%d" % next(self.ids) for _ in range(count)]
+        request_id = next(self.ids)
+        self.requests[request_id] = tuple(commands)
+        self._step(host, ag.Propose(request_id, tuple(commands)))
         return commands
 
     def read(self, name: str) -> int:
-        """Ask one member for a confirmed read."""
+        """Request a confirmed read from one member."""
         host = self.hosts[name]
-        ticket = next(self.numbers)
-        # It has to see every write acknowledged before this moment.
-        floor = max(self.acknowledged.values(), default=0)
-        self.tickets[ticket] = (floor,)
+        request_id = next(self.ids)
+        # The read must include every write acknowledged so far.
+        min_index = max(self.acknowledged.values(), default=0)
+        self.requests[request_id] = (min_index,)
         if host.machine is not None:
-            self._step(host, ag.ConfirmRead(ticket))
-        return ticket
+            self._step(host, ag.ConfirmRead(request_id))
+        return request_id
 
     def change(self, event_type, name: str) -> int:
-        """Ask the leader for a change of members."""
+        """Request a membership change from the leader."""
         leader = self.leader()
-        ticket = next(self.numbers)
+        request_id = next(self.ids)
         if leader is not None:
-            self.tickets[ticket] = ()
-            self._step(leader, event_type(ticket, name))
-        return ticket
+            self.requests[request_id] = ()
+            self._step(leader, event_type(request_id, name))
+        return request_id
 
     # Time.
 
     def run(self, seconds: float, until=None) -> bool:
-        """Let time pass; stop early once `until` holds."""
+        """Advance the time; stop early once `until` returns True."""
         end = self.now + seconds
         while not (until and until()):
-            due = min(self.hosts.values(), key=self._wakeup)
+            next_host = min(self.hosts.values(), key=self._wakeup)
             next_message = self.queue[0][0] if self.queue else math.inf
-            at = min(self._wakeup(due), next_message)
+            at = min(self._wakeup(next_host), next_message)
             if at > end:
                 self.now = end
                 return not until
             self.now = max(self.now, at)
-            if next_message <= self._wakeup(due):
+            if next_message <= self._wakeup(next_host):
                 self._deliver(heapq.heappop(self.queue)[2])
             else:
-                self._step(due, ag.Tick())
+                self._step(next_host, ag.Tick())
         return True
 
     def _wakeup(self, host: Host) -> float:
@@ -211,8 +213,8 @@
         message, header = event.message, event.message.header
         lost = isinstance(event, ag.Undelivered)
         host = self.hosts[header.sender if lost else header.target]
-        cut = (header.sender, header.target) in self.cuts
-        if host.machine is None or (cut and not lost):
+        blocked = (header.sender, header.target) in self.blocked_links
+        if host.machine is None or (blocked and not lost):
             self._report_loss(message)
         elif host.frozen_until > self.now:
             self._enqueue(host.frozen_until, event)
@@ -221,20 +223,20 @@
             self._step(host, event)
 
     def _report_loss(self, message) -> None:
-        """Let the sender notice the loss after the call's time limit."""
+        """Report the loss to the sender after the call timeout."""
         if isinstance(message, ag.AppendRequest | ag.SnapshotRequest):
-            self._enqueue(self.now + CALL_LIMIT_S, ag.Undelivered(message))
+            self._enqueue(self.now + CALL_TIMEOUT_S, ag.Undelivered(message))
 
     def _enqueue(self, at: float, event) -> None:
-        heapq.heappush(self.queue, (at, next(self.numbers), event))
+        heapq.heappush(self.queue, (at, next(self.ids), event))
 
     def _transmit(self, message) -> None:
         if message.header.target not in self.hosts:
             return
-        if self.rng.random() < self.loss:
+        if self.rng.random() < self.loss_rate:
             self._report_loss(message)
             return
-        copies = 1 + (self.rng.random() < self.duplication)
+        copies = 1 + (self.rng.random() < self.duplication_rate)
         for _ in range(copies):
             delay = self.rng.uniform(0.0005, 0.003)
             if self.reordering:
@@ -251,32 +253,32 @@
                 events += self._execute(host, effect)
                 if self._crashes_after(host, effect):
                     self.crash(host.name)
-                    back = self.now + self.rng.uniform(0.01, 0.5)
-                    self._enqueue(back, host.name)
+                    restart_at = self.now + self.rng.uniform(0.01, 0.5)
+                    self._enqueue(restart_at, host.name)
                     return
         self._check_leader(host)
-        # The margin keeps a rounded tick from coming too early for ever.
+        # The margin avoids an endless series of early ticks due to rounding.
         host.wakeup = machine.next_wakeup() / host.rate + 1e-6
 
     def _crashes_after(self, host: Host, effect) -> bool:
-        """Tell whether a host crashes at the worst moment of a step.
+        """Return whether a host crashes right after sending a message.
 
-        Others already act on what it sent, and what it did not store
-        before is lost.
+        This is the worst moment of a step: other members act on the message,
+        and any data that was not stored before it was sent is lost.
         """
         if not isinstance(effect, ag.Send):
             return False
         if host.crash_after is not None and host.crash_after(effect.message):
             host.crash_after = None
             return True
-        return self.rng.random() < self.crash_chance
+        return self.rng.random() < self.crash_rate
 
     def _check_leader(self, host: Host) -> None:
         machine = host.machine
         if machine.role is ag.Role.LEADER:
-            known = self.leaders.setdefault(machine.term, machine.identity)
-            assert known == machine.identity, (
-                f"term {machine.term}: leaders {known}, {machine.identity}"
+            expected = self.leaders.setdefault(machine.term, machine.identity)
+            assert expected == machine.identity, (
+                f"term {machine.term}: leaders {expected}, {machine.identity}"
             )
 
     def _execute(self, host: Host, effect) -> list:
@@ -300,19 +302,21 @@
                 self._transmit(message)
             case ag.Apply(entry):
                 self._check_apply(host, entry)
-            case ag.Appended(ticket, first, term):
-                for at, command in enumerate(self.tickets[ticket], first):
+            case ag.Appended(request_id, first, term):
+                for at, command in enumerate(self.requests[request_id], first):
                     self.pending[host.disk.incarnation, at] = (term, command)
-            case ag.ReadConfirmed(ticket, index):
-                (floor,) = self.tickets[ticket]
-                assert index >= floor, f"read at {index}, written {floor}"
+            case ag.ReadConfirmed(request_id, index):
+                (min_index,) = self.requests[request_id]
+                assert index >= min_index, (
+                    f"read at {index}, written {min_index}"
+                )
                 assert index <= host.machine.applied
                 self.confirmed_reads += 1
         return []
 
     def _check_apply(self, host: Host, entry: ag.Entry) -> None:
-        known = self.committed.setdefault(entry.index, entry)
-        assert known == entry, f"{host.name}: {entry} instead of {known}"
+        expected = self.committed.setdefault(entry.index, entry)
+        assert expected == entry, f"{host.name}: {entry} instead of {expected}"
         host.state.append(entry)
         assert len(host.state) == entry.index, "applied out of order"
         term, command = self.pending.pop(
@@ -323,13 +327,15 @@
 
     def _check_state(self, host: Host) -> None:
         for entry in host.state:
-            known = self.committed.get(entry.index)
-            assert known == entry, f"{host.name}: snapshot has {entry}"
-
-    def settle(self) -> None:
-        """Heal, readmit lost members, and check the whole outcome."""
-        self.heal()
-        assert self.run(HEAL_S, self._settled), "no progress after healing"
+            expected = self.committed.get(entry.index)
+            assert expected == entry, f"{host.name}: snapshot has {entry}"
+
+    def check_outcome(self) -> None:
+        """End all faults, readmit lost members and check the final state."""
+        self.end_faults()
+        assert self.run(RECOVERY_TIMEOUT_S, self._recovered), (
+            "no progress after the end of all faults"
+        )
         for name in self.names:
             state = self.hosts[name].state
             data = {entry.data: entry.index for entry in state}
@@ -337,8 +343,8 @@
                 assert data.get(command) == index, f"{name} lost {command}"
             assert [self.committed[e.index] for e in state] == state
 
-    def _settled(self) -> bool:
-        """Propose until all members are voters and hold one new command."""
+    def _recovered(self) -> bool:
+        """Propose until all members are voters and applied a new command."""
         leader = self.leader()
         if leader is None:
             return False
--- a/chivescale/agreement/tests/random_runs.py
+++ b/chivescale/agreement/tests/random_runs.py
@@ -1,4 +1,4 @@
-"""Random runs of the fake world: faults drawn from a seed or given."""
+"""Simulation runs with random or given faults."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class Report(msgspec.Struct):
-    """What happened in a run; the checks are in the world."""
+    """Statistics of a run; `World` performs the checks."""
 
     seed: int
     steps: int
@@ -18,31 +18,31 @@
     acknowledged: int
     reads: int
     deliveries: int
-    wipes: int
+    disk_losses: int
     simulated_s: float
 
 
-# Repeated names are drawn more often; ends of faults are as frequent as
-# faults, so that the group works for about half of the time.
+# Repeated names are chosen more often. Faults end as often as they begin, so
+# that the group works about half of the time.
 ACTIONS = (
     ["run"] * 8
     + ["propose"] * 8
     + ["read_leader"] * 4
     + ["start"] * 4
-    + ["heal_network", "calm"] * 3
+    + ["heal_network", "end_faults"] * 3
     + ["propose_anywhere", "read", "burst", "replace", "replace"]
-    + ["cut_one_way", "isolate", "split", "crash", "wipe", "freeze"]
-    + ["loss", "reorder", "crash_chance"]
+    + ["cut_one_way", "isolate", "split", "crash", "lose_disk", "freeze"]
+    + ["loss", "reorder", "crash_rate"]
 )
 
 
 def run_random(seed: int, steps: int) -> Report:
-    """Run `steps` random actions, then heal and check.
+    """Run `steps` random actions, then end all faults and check.
 
     Raises
     ------
     AssertionError
-        With the seed, if an invariant or a final check fails.
+        If an invariant or a final check fails; contains the seed.
     """
     rng = random.Random(seed)
     actions = [
@@ -52,18 +52,18 @@
 
 
 def run_actions(seed: int, actions: list[tuple[str, int]]) -> Report:
-    """Run given actions, each with a number that selects its details."""
+    """Run the given actions, each with a number that sets its details."""
     world = World(seed)
-    wipes = 0
+    disk_losses = 0
     try:
         world.run(2.0, world.leader)
         for action, number in actions:
-            wipes += bool(_HANDLERS[action](world, number))
+            disk_losses += bool(_HANDLERS[action](world, number))
             if seed % 3 == 0:
-                # About one crash in every 0.3 s during the whole run.
-                world.crash_chance = max(world.crash_chance, 0.02)
+                # About one crash per 0.3 s during the whole run.
+                world.crash_rate = max(world.crash_rate, 0.02)
             world.run(0.02)
-        world.settle()
+        world.check_outcome()
     except AssertionError as err:
         raise AssertionError(f"seed {seed}: {err}") from err
     return Report(
@@ -74,7 +74,7 @@
         acknowledged=len(world.acknowledged),
         reads=world.confirmed_reads,
         deliveries=world.deliveries,
-        wipes=wipes,
+        disk_losses=disk_losses,
         simulated_s=world.now,
     )
 
@@ -110,7 +110,7 @@
 
 
 def _cut_one_way(world: World, number: int) -> None:
-    world.cuts.add((_name(number), _name(number // 7)))
+    world.blocked_links.add((_name(number), _name(number // 7)))
 
 
 def _isolate(world: World, number: int) -> None:
@@ -124,7 +124,7 @@
 
 
 def _heal_network(world: World, number: int) -> None:
-    world.cuts.clear()
+    world.blocked_links.clear()
 
 
 def _crash(world: World, number: int) -> None:
@@ -135,11 +135,11 @@
     world.start(_name(number))
 
 
-def _wipe(world: World, number: int) -> bool:
+def _lose_disk(world: World, number: int) -> bool:
     name = _name(number)
-    if not world.wipe_is_survivable(name):
+    if not world.replacement_is_survivable(name):
         return False
-    world.wipe(name)
+    world.replace_disk(name)
     if number % 3:
         world.start(name)
     return True
@@ -153,21 +153,21 @@
     world.freeze(_name(number), 0.1 + number % 20 / 10)
 
 
-def _loss(world: World, number: int) -> None:
-    world.loss = number % 5 / 10
-    world.duplication = number % 7 / 10
+def _set_loss(world: World, number: int) -> None:
+    world.loss_rate = number % 5 / 10
+    world.duplication_rate = number % 7 / 10
 
 
-def _reorder(world: World, number: int) -> None:
+def _set_reordering(world: World, number: int) -> None:
     world.reordering = bool(number % 2)
 
 
-def _crash_chance(world: World, number: int) -> None:
-    world.crash_chance = (0, 0.01, 0.03, 0.1)[number % 4]
+def _set_crash_rate(world: World, number: int) -> None:
+    world.crash_rate = (0, 0.01, 0.03, 0.1)[number % 4]
 
 
-def _calm(world: World, number: int) -> None:
-    world.heal()
+def _end_faults(world: World, number: int) -> None:
+    world.end_faults()
     world.run(1.0)
 
 
@@ -184,11 +184,11 @@
     "heal_network": _heal_network,
     "crash": _crash,
     "start": _start,
-    "wipe": _wipe,
+    "lose_disk": _lose_disk,
     "replace": _replace,
     "freeze": _freeze,
-    "loss": _loss,
-    "reorder": _reorder,
-    "crash_chance": _crash_chance,
-    "calm": _calm,
+    "loss": _set_loss,
+    "reorder": _set_reordering,
+    "crash_rate": _set_crash_rate,
+    "end_faults": _end_faults,
 }
--- a/chivescale/agreement/tests/steps/agreement_steps.py
+++ b/chivescale/agreement/tests/steps/agreement_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive a fake world of agreement machines."""
+"""Steps that drive simulated agreement machines."""
 
 import random
 
@@ -17,7 +17,7 @@
 SEED = 7
 
 
-@then("{runs:d} random runs of up to {steps:d} actions keep every promise")
+@then("{runs:d} random runs of up to {steps:d} actions violate no invariant")
 def random_runs(context, runs, steps):
     action = strategies.tuples(
         strategies.sampled_from(ACTIONS), strategies.integers(0, 65535)
@@ -37,12 +37,12 @@
 
 
 @then(
-    "the random run with seed {seed:d} and {steps:d} actions keeps every"
-    " promise"
+    "the random run with seed {seed:d} and {steps:d} actions violates no"
+    " invariant"
 )
 def fixed_run(context, seed, steps):
     report = run_random(seed, steps)
-    # A run in which the group hardly ever worked would prove nothing.
+    # The checks are meaningful only if the group worked most of the time.
     assert report.acknowledged > steps // 2, report
     assert report.reads > 0 and report.terms > 1, report
 
@@ -50,9 +50,9 @@
 @given("a group whose members {names} have not started")
 def partial_group(context, names):
     context.world = World(SEED)
-    # The machines started at time zero and have sent nothing yet.
+    # All machines started at time zero and have sent no messages yet.
     for name in names.split():
-        context.world.wipe(name)
+        context.world.replace_disk(name)
 
 
 @given("a formed group")
@@ -88,7 +88,7 @@
     return [context.world.hosts[roles.get(w, w)] for w in words.split()]
 
 
-@given("members c3 c4 are isolated together with the first follower")
+@given("members c3 c4 and the first follower are isolated from the others")
 def isolate_three(context):
     context.world.isolate("c3", "c4", context.roles["follower"])
 
@@ -110,8 +110,8 @@
 
 
 @when("all faults end")
-def end_faults(context):
-    context.world.heal()
+def all_faults_end(context):
+    context.world.end_faults()
 
 
 @when("members {names} crash")
@@ -120,9 +120,9 @@
         context.world.crash(host.name)
 
 
-@when("members {names} crash right after the next answer")
-def crash_after_answer(context, names):
-    # Answers to heartbeats acknowledge no entry.
+@when("members {names} crash right after the next reply")
+def crash_after_reply(context, names):
+    # Replies to heartbeats acknowledge no new entry.
     last = context.world.leader().machine.log.last_index
     for host in _named(context, names):
         host.crash_after = lambda message: (
@@ -146,7 +146,7 @@
 @when("members {names} lose their disks and restart")
 def lose_disks(context, names):
     for host in _named(context, names):
-        context.world.wipe(host.name)
+        context.world.replace_disk(host.name)
         context.world.start(host.name)
 
 
@@ -172,7 +172,7 @@
     return found is not None and found.voter
 
 
-@when("a host c5 that names all members is started and admitted")
+@when("a host c5 with all members in its settings is started and admitted")
 def add_member(context):
     context.world.add_host("c5", (*NAMES, "c5"))
     replace_members(context, "c5")
@@ -181,7 +181,7 @@
 @when("member follower is removed")
 def remove_member(context):
     world, name = context.world, context.roles["follower"]
-    # The change before has to be committed first.
+    # The previous change must be committed first.
     world.run(0.2)
     world.change(ag.RemoveMember, name)
     world.names = tuple(n for n in (*NAMES, "c5") if n != name)
@@ -200,20 +200,20 @@
     context.world.isolate(context.roles["leader"])
 
 
-@when("members follower are cut off in direction {direction}")
-def cut_off(context, direction):
+@when("links of the follower are cut in direction {direction}")
+def cut_links(context, direction):
     world, name = context.world, context.roles["follower"]
     if direction == "from leader":
-        world.cuts.add((context.roles["leader"], name))
+        world.blocked_links.add((context.roles["leader"], name))
         return
     for other in set(NAMES) - {name}:
         if direction in ("both", "in"):
-            world.cuts.add((other, name))
+            world.blocked_links.add((other, name))
         if direction in ("both", "out"):
-            world.cuts.add((name, other))
+            world.blocked_links.add((name, other))
 
 
-@when("a replacement of a healthy member is asked for")
+@when("the replacement of a healthy member is requested")
 def replace_healthy(context):
     world = context.world
     name = context.roles["follower"]
@@ -237,8 +237,8 @@
 
 
 @then(
-    "the frozen leader's contact is over {seconds:d} s old the moment it"
-    " resumes"
+    "the frozen leader's last contact is over {seconds:d} s old as soon as"
+    " it resumes"
 )
 def contact_is_old(context, seconds):
     world = context.world
@@ -256,11 +256,11 @@
     command_accepted(context, 0.5)
 
 
-@when("the frozen leader is asked for a read the moment it resumes")
+@when("the frozen leader receives a read as soon as it resumes")
 def read_on_resume(context):
     world = context.world
     former = world.hosts[context.roles["leader"]]
-    # Time passes without letting the member handle what has arrived.
+    # The clock advances without delivering the messages that have arrived.
     queue, world.queue = world.queue, []
     world.now, former.frozen_until = former.frozen_until, 0.0
     context.reads_before = world.confirmed_reads
@@ -287,7 +287,7 @@
     assert context.world.run(seconds, context.world.leader)
 
 
-@then("only members that kept the group's log have led")
+@then("only members with the group's log have been leaders")
 def one_group(context):
     world = context.world
     wiped = world.hosts[context.roles["follower"]]
@@ -308,19 +308,19 @@
     assert len(world.acknowledged) > count, "no command was accepted"
 
 
-@then("everyone agrees and nothing is lost")
-def settle(context):
-    context.world.settle()
+@then("all members agree and no command is lost")
+def check_outcome(context):
+    context.world.check_outcome()
 
 
-@then("the member without its disk is no voter")
+@then("the member that lost its disk is not a voter")
 def not_a_voter(context):
     world = context.world
     assert not _votes(world, world.hosts[context.roles["follower"]])
 
 
-@then("the change is refused and all members still vote")
-def change_refused(context):
+@then("the change is rejected and all members are still voters")
+def change_rejected(context):
     configuration = context.world.leader().machine.configuration
     assert len(configuration.voters) == len(NAMES)
     assert all(m.incarnation != "stray" for m in configuration.members)
@@ -332,7 +332,7 @@
     host = world.hosts[context.roles["follower"]]
     last = world.leader().machine.commit
     assert world.run(2.0, lambda: host.machine.applied >= last)
-    # Its own log never reached the entries that the snapshot covers.
+    # Its log was too far behind to contain the entries in the snapshot.
     assert host.disk.snapshot.index > 500, host.disk.snapshot.index
     assert host.disk.entries[0].index > 500
 
@@ -350,7 +350,7 @@
     assert context.new_term > context.first_term
 
 
-@then("the term has not changed since the isolation began a new one")
+@then("the term has not changed since the election of the second leader")
 def term_is_kept(context):
     terms = {h.machine.term for h in context.world.hosts.values()}
     assert terms == {context.new_term}, (terms, context.new_term)
@@ -363,7 +363,7 @@
     assert leader.machine.term == context.first_term, leader.machine.term
 
 
-@then("over {seeds:d} seeds a crashed leader is followed within {limit:d} ms")
+@then("for {seeds:d} seeds a crashed leader is replaced within {limit:d} ms")
 def elected_in_time(context, seeds, limit):
     for seed in range(seeds):
         world = World(seed)
@@ -443,6 +443,6 @@
     context.effects = _receive(machine, message, 0.1)
 
 
-@then("it sends no answer and stores nothing")
+@then("it sends no reply and stores nothing")
 def no_effects(context):
     assert context.effects == [], context.effects
--- a/chivescale/agreement/tests/steps/durable_steps.py
+++ b/chivescale/agreement/tests/steps/durable_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the files of a data folder."""
+"""Steps for the durable log and its data folder."""
 
 import errno
 import os
@@ -69,8 +69,10 @@
     log.close()
 
 
-@then("a restart finds the term, the vote and the entries after the snapshot")
-def restart_finds(context):
+@then(
+    "a restart recovers the term, the vote and the entries after the snapshot"
+)
+def restart_recovers_all(context):
     found = _reopen(context.folder)
     assert found.incarnation == context.incarnation
     assert found.hard_state == ag.HardState(2, "c1/j")
@@ -78,8 +80,10 @@
     assert found.entries == tuple(_entry(i, 2) for i in (6, 7, 8))
 
 
-@then("cut at any length it recovers the complete records and goes on")
-def cut_anywhere(context):
+@then(
+    "cut at any length it recovers the complete records and accepts new ones"
+)
+def truncate_anywhere(context):
     path = context.folder / LOG
     data = path.read_bytes()
     for length in range(context.ends[0], len(data)):
@@ -94,7 +98,7 @@
         assert len(_reopen(context.folder).entries) == complete + 1
 
 
-@when("a record is written of which the last sector holds zeros")
+@when("a record is written whose last sector contains only zeros")
 def zero_sector(context):
     entry = ag.Entry(7, 1, data=b"x" * 2000)
     record = encode_record(Batch(None, (entry,)))
@@ -119,7 +123,7 @@
     assert len(found.entries) >= count
 
 
-@then("with any byte changed the start is refused with file and offset")
+@then("with any byte changed the start fails and names file and offset")
 def flip_anywhere(context):
     path = context.folder / LOG
     data = path.read_bytes()
@@ -172,15 +176,15 @@
     _damage(context.folder, damage)
 
 
-@then("the start is refused as corrupt, naming {name}")
-def refused_as_corrupt(context, name):
+@then("the start fails with storage_corrupt and names {name}")
+def fails_as_corrupt(context, name):
     context.failure = _reopen(context.folder)
     assert is_failure(context.failure), context.failure
     assert context.failure.kind is ErrorKind.STORAGE_CORRUPT
     assert f"{name}: offset" in context.failure.reason, context.failure
 
 
-@then("the check of the folder reports the same and changes nothing")
+@then("checking the folder reports the same error and changes nothing")
 def check_reports(context):
     before = {p: p.read_bytes() for p in context.folder.iterdir()}
     report = ag.check_folder(context.folder)
@@ -194,7 +198,7 @@
     shutil.rmtree(context.folder)
 
 
-@then("a start finds nothing and has another incarnation")
+@then("a start recovers no data and has another incarnation")
 def starts_empty(context):
     found = _reopen(context.folder)
     assert found.entries == () and found.hard_state == ag.HardState()
@@ -218,8 +222,8 @@
     context.add_cleanup(process.communicate)
 
 
-@then("the start is refused with storage_failed")
-def refused_as_used(context):
+@then("the start fails with storage_failed")
+def fails_as_locked(context):
     found = _reopen(context.folder)
     assert is_failure(found) and found.kind is ErrorKind.STORAGE_FAILED, found
 
@@ -236,8 +240,8 @@
     setattr(log, call, getattr(os, call))
 
 
-@then("this and every later record is refused with storage_failed")
-def refused_for_good(context):
+@then("storing this and every later record fails with storage_failed")
+def fails_permanently(context):
     later = context.log.append(None, (_entry(7),)) or context.log.sync()
     context.log.close()
     for result in (context.result, later):
@@ -245,7 +249,7 @@
         assert result.kind is ErrorKind.STORAGE_FAILED, result
 
 
-@then("a crash at any call while a snapshot is stored loses nothing")
+@then("a crash at any system call while a snapshot is stored loses no data")
 def crash_in_snapshot(context):
     completed = False
     for calls in range(1, 30):
--- a/chivescale/agreement/tests/steps/host_steps.py
+++ b/chivescale/agreement/tests/steps/host_steps.py
@@ -1,4 +1,4 @@
-"""Steps with agreement hosts, real files and real connections."""
+"""Steps for agreement hosts with real files and connections."""
 
 import asyncio
 import errno
@@ -14,13 +14,13 @@
 from chivescale.settings import AgreementSettings, ControlMember
 from chivescale.transport import Client, Server
 
-# Far above what the steps need, so that a busy machine does not fail them.
-PATIENCE_S = 20.0
+# Far more than the steps need, so that they do not time out on a busy machine.
+TIMEOUT_S = 20.0
 SETTINGS = AgreementSettings(snapshot_entries=100)
 
 
-class Relay:
-    """Forwards connections to a server; can make the open ones silent."""
+class StallingProxy:
+    """TCP proxy to a server that can stall all open connections."""
 
     def __init__(self):
         self.target: tuple[str, int] | None = None
@@ -59,11 +59,11 @@
 
 
 class Member:
-    """One host with its relay, server, client and applied commands."""
+    """One host with its proxy, server, client and applied commands."""
 
     def __init__(self, name: str, folder: pathlib.Path):
         self.name, self.folder = name, folder
-        self.relay = Relay()
+        self.proxy = StallingProxy()
         self.host: ag.AgreementHost | None = None
         self.state: list[str] = []
         self.running = False
@@ -83,7 +83,7 @@
         )
         self.server = Server(b"secret", self.host.routes())
         await self.server.start("127.0.0.1:0")
-        self.relay.target = self.server.runner.addresses[0]
+        self.proxy.target = self.server.runner.addresses[0]
         assert await self.host.start() is None
         self.running = True
 
@@ -99,7 +99,7 @@
 
 
 class Group:
-    """All members, on one event loop that runs during the steps."""
+    """All members on one event loop, which runs only during steps."""
 
     def __init__(self, count: int):
         self.loop = asyncio.new_event_loop()
@@ -110,7 +110,7 @@
         self.sent = 0
 
     async def start(self):
-        addresses = [await m.relay.start() for m in self.members]
+        addresses = [await m.proxy.start() for m in self.members]
         self.settings = tuple(
             ControlMember(member.name, address)
             for member, address in zip(self.members, addresses, strict=True)
@@ -122,7 +122,7 @@
         async def close_all():
             for member in self.members:
                 await member.close()
-                await member.relay.close()
+                await member.proxy.close()
 
         self.loop.run_until_complete(close_all())
         self.loop.close()
@@ -133,14 +133,14 @@
         return max(running, key=lambda m: m.host.term, default=None)
 
     async def wait(self, condition):
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TIMEOUT_S
         while not condition():
             assert time.monotonic() < end, "condition not reached"
             await asyncio.sleep(0.01)
 
     async def propose(self) -> None:
-        """Propose until a leader accepts; an unknown outcome is repeated."""
-        end = time.monotonic() + PATIENCE_S
+        """Propose until a command succeeds; retry after unknown outcomes."""
+        end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:
             leader = self.leader()
             if leader is not None:
@@ -175,7 +175,7 @@
 
     async def send():
         host = group.leader().host
-        deadline = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + TIMEOUT_S
         commands = [b"bulk-%d" % n for n in range(count)]
         calls = (host.submit(command, deadline) for command in commands)
         return await asyncio.gather(*calls)
@@ -205,27 +205,27 @@
 @then("the leader confirms a read at or above the last command")
 def read_confirmed(context):
     host = context.group.leader().host
-    found = _run(context, host.confirm_read(time.monotonic() + PATIENCE_S))
+    found = _run(context, host.confirm_read(time.monotonic() + TIMEOUT_S))
     assert not is_failure(found), found
     assert context.last_index <= found <= host.last_applied
 
 
-@then("a follower refuses commands, naming the leader's address")
-def follower_refuses(context):
+@then("a follower rejects commands and returns the leader's address")
+def follower_rejects(context):
     group = context.group
     leader = group.leader()
     follower = next(m for m in group.members if m is not leader)
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + TIMEOUT_S
     found = _run(context, follower.host.propose(b"x", deadline))
     assert found.kind is ErrorKind.NOT_LEADER, found
     address = {m.name: m.address for m in group.settings}[leader.name]
     assert found.redirect == address
 
 
-@when("every open connection between members goes silent")
-def go_silent(context):
+@when("every open connection between members becomes unresponsive")
+def stall_connections(context):
     for member in context.group.members:
-        member.relay.generation += 1
+        member.proxy.generation += 1
 
 
 @then("a command is accepted")
@@ -279,7 +279,7 @@
 
 @when("a command is sent to it")
 def send_to_full(context):
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + TIMEOUT_S
     host = context.closed.host
     context.outcome = _run(context, host.propose(b"x", deadline))
 
@@ -291,12 +291,12 @@
     assert not context.closed.host.is_leader
 
 
-@then("the stopped member answers requests with storage_failed")
-def answers_storage_failed(context):
+@then("the stopped member replies to requests with storage_failed")
+def replies_storage_failed(context):
     member = context.closed
     header = ag.Header("c9", "i", member.name, member.log.incarnation, 99)
     message = ag.VoteRequest(header, True, 99, 1 << 30, 99, "")
-    address = ":".join(map(str, member.relay.target))
+    address = ":".join(map(str, member.proxy.target))
     found = _run(
         context,
         member.client.call(
@@ -305,7 +305,7 @@
             "/v1/agreement",
             ag.AgreementMessage,
             message,
-            timeout_s=PATIENCE_S,
+            timeout_s=TIMEOUT_S,
         ),
     )
     assert is_failure(found) and found.kind is ErrorKind.STORAGE_FAILED, found
@@ -329,7 +329,7 @@
         for _ in range(200):
             leader = group.leader()
             if leader is not None:
-                deadline = time.monotonic() + PATIENCE_S
+                deadline = time.monotonic() + TIMEOUT_S
                 found = await leader.host.replace_member(name, deadline)
                 if not is_failure(found):
                     return
--- a/chivescale/agreement/tests/steps/roster_steps.py
+++ b/chivescale/agreement/tests/steps/roster_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the planning of members."""
+"""Steps for planning membership changes."""
 
 from behave import given, then, when
 
@@ -10,18 +10,18 @@
     return ag.Member(name, name, f"{name}-1", voter)
 
 
-def plan(context, callers=(), silent=()):
+def plan(context, applicants=(), unreachable=()):
     names = {m.name for m in context.configuration.members}
     return context.roster.plan(
         "c0",
         context.configuration,
-        {name: member(name) for name in callers},
-        names - set(silent) - {"c0"},
+        {name: member(name) for name in applicants},
+        names - set(unreachable) - {"c0"},
         context.now,
     )
 
 
-def words(text: str) -> list[str]:
+def parse_names(text: str) -> list[str]:
     return [] if text == "none" else text.split()
 
 
@@ -31,28 +31,33 @@
     context.roster = ag.Roster()
     members = tuple(member(name) for name in voters.split())
     context.configuration = ag.Configuration(members)
-    context.callers = context.silent = []
+    context.applicants = context.unreachable = []
     assert plan(context) is None
 
 
-@when("{callers} call, {silent} are silent, and {seconds:d} s pass")
-def events(context, callers, silent, seconds):
-    context.callers, context.silent = words(callers), words(silent)
-    if not context.callers:
-        assert plan(context, silent=context.silent) is None
+@when(
+    "{applicants} apply, {unreachable} are unreachable, and {seconds:d} s pass"
+)
+def events(context, applicants, unreachable, seconds):
+    context.applicants, context.unreachable = (
+        parse_names(applicants),
+        parse_names(unreachable),
+    )
+    if not context.applicants:
+        assert plan(context, unreachable=context.unreachable) is None
     context.now += seconds
 
 
-@when("{name} becomes a voter meanwhile")
+@when("{name} becomes a voter")
 def becomes_voter(context, name):
     context.configuration = context.configuration.with_member(member(name))
-    if not context.silent:
+    if not context.unreachable:
         assert plan(context) is None
 
 
 @then("the leader will {change}")
 def change_is(context, change):
-    found = plan(context, context.callers, context.silent)
+    found = plan(context, context.applicants, context.unreachable)
     expected = None
     if change != "do nothing":
         verb, name = change.split()
@@ -60,10 +65,10 @@
     assert found == expected, found
 
 
-@given("three members of which {empty} start without having had a group")
-def three(context, empty):
+@given("three members of which {barred} must not form a group")
+def three_members(context, barred):
     context.world = World(7, ("c0", "c1", "c2"))
-    for name in words(empty):
+    for name in parse_names(barred):
         machine = context.world.hosts[name].machine
         machine.may_form = False
 
@@ -79,15 +84,15 @@
     assert (leader is not None) == (leads == "one"), leader
 
 
-@when("a host that no settings name calls for 2 s")
-def stranger(context):
+@when("a host that is in no settings runs for 2 s")
+def unknown_host(context):
     context.world.add_host("c9", context.world.names)
     context.world.hosts["c9"].machine.address = "c9"
     context.world.run(2.0)
 
 
-@then("the leader has seen its address")
-def seen(context):
+@then("the leader knows its address")
+def leader_knows_address(context):
     seen = {}
     for host in context.world.hosts.values():
         seen |= host.machine.seen
