--- a/chivescale/coordinator/_promoter.py
+++ b/chivescale/coordinator/_promoter.py
@@ -95,7 +95,7 @@
         for watched in self.watched.values():
             reachable = report.reachable.get(watched.endpoint)
             if reachable is not None:
-                watched.detector.opinion(report.host, reachable, now())
+                watched.detector.record_opinion(report.host, reachable, now())
 
     async def _run(self) -> None:
         while True:
@@ -114,7 +114,7 @@
             watched = self._watch(service)
             if watched is None:
                 continue
-            verdict = watched.detector.verdict(now())
+            verdict = watched.detector.evaluate(now())
             if verdict is not Verdict.ALIVE:
                 suspects.append(watched.endpoint)
             if watched.replacement is None and self._must_go(watched, verdict):
@@ -220,11 +220,11 @@
             sent_at = now()
             outcome = await self._lead_check(watched.endpoint)
             if not is_failure(outcome):
-                watched.detector.answered(sent_at)
+                watched.detector.record_answer(sent_at)
             elif outcome.kind is ErrorKind.CONNECTION_REFUSED:
-                watched.detector.failed(True, now())
+                watched.detector.record_failure(True, now())
             else:
-                watched.detector.failed(False, now())
+                watched.detector.record_failure(False, now())
             pause = PROBE_PERIOD_S
             if is_failure(outcome):
                 log_event(
--- a/chivescale/promotion/__init__.py
+++ b/chivescale/promotion/__init__.py
@@ -1,4 +1,7 @@
-"""Replacement of primaries where another system carries it out."""
+"""Detection and replacement of primaries with external promotion.
+
+Promotions are performed by another system, the `PromotionAuthority`.
+"""
 
 from chivescale.promotion._authority import OrderOutcome, PromotionAuthority
 from chivescale.promotion._choice import Candidate, choose_successor
--- a/chivescale/promotion/_authority.py
+++ b/chivescale/promotion/_authority.py
@@ -1,15 +1,16 @@
-"""The system that carries out promotions."""
+"""Interface to the system that performs promotions."""
 
 import enum
 import typing
 
 
 class OrderOutcome(enum.Enum):
-    """Answer to an order.
+    """Result of a promotion order.
 
-    ``ACCEPTED``: the endpoint will lead the next term, or leads already.
-    ``REJECTED``: a higher fencing token was used, or the endpoint is not
-    running. ``UNKNOWN``: no answer; the order may be carried out later.
+    ``ACCEPTED``: the endpoint is or becomes the primary of the next term.
+    ``REJECTED``: a higher fencing token was already used, or the endpoint is
+    not running. ``UNKNOWN``: there was no answer; the order may still be
+    executed later.
     """
 
     ACCEPTED = enum.auto()
@@ -18,9 +19,9 @@
 
 
 class PromotionAuthority(typing.Protocol):
-    """Carries out promotions under fencing tokens."""
+    """Performs promotions that are protected by fencing tokens."""
 
     async def promote(
         self, service: str, endpoint: str, holder: str, token: int
     ) -> OrderOutcome:
-        """Order that an endpoint becomes the primary of a service."""
+        """Order the promotion of an endpoint to primary of a service."""
--- a/chivescale/promotion/_choice.py
+++ b/chivescale/promotion/_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint that becomes primary."""
+"""Selection of the endpoint to promote."""
 
 import msgspec
 
@@ -7,16 +7,16 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A replica of the service.
+    """A replica that may be promoted.
 
     Attributes
     ----------
     endpoint : str
-        Identifier.
+        Identifier of the endpoint.
     received : Position or None
-        Last log entry that it holds; None if it did not answer.
+        Position of its last log entry; None if it did not answer.
     draining : bool
-        Whether it will end soon.
+        Whether it is shutting down.
     """
 
     endpoint: str
@@ -29,33 +29,36 @@
 ) -> str | Failure:
     """Return the most advanced replica.
 
-    An acknowledged commit is held by at least `sync_replicas` replicas. It
-    is certainly held by one that answered if fewer than that many did not
-    answer; otherwise the choice has to wait.
+    At least `sync_replicas` replicas hold each acknowledged commit. If fewer
+    than that did not answer, one that answered holds it. Otherwise an
+    acknowledged commit could be lost, and no replica is chosen.
 
     Parameters
     ----------
     candidates : list of Candidate
-        Every replica of the service that has not ended.
+        All replicas of the service that have not terminated.
     sync_replicas : int
-        Replicas that have received a commit before it is acknowledged.
+        Number of replicas that receive a commit before it is acknowledged.
 
     Returns
     -------
     endpoint or Failure
-        ``NO_QUORUM`` if a silent replica may hold an acknowledged commit,
+        ``NO_QUORUM`` if only silent replicas may hold an acknowledged commit,
         ``NO_PRIMARY`` if no replica answered.
     """
-    heard = [c for c in candidates if c.received is not None]
-    silent = len(candidates) - len(heard)
+    responding = [c for c in candidates if c.received is not None]
+    silent = len(candidates) - len(responding)
     if sync_replicas and silent >= sync_replicas:
-        reason = f"{silent} replicas silent, {sync_replicas} may hold a commit"
+        reason = (
+            f"{silent} replicas did not answer and may hold an acknowledged "
+            f"commit (sync_replicas={sync_replicas})"
+        )
         return Failure(ErrorKind.NO_QUORUM, reason)
-    if not heard:
+    if not responding:
         return Failure(ErrorKind.NO_PRIMARY, "no replica answered")
-    staying = [c for c in heard if not c.draining]
-    furthest = max(c.received for c in heard)
+    preferred = [c for c in responding if not c.draining]
+    latest_position = max(c.received for c in responding)
     if sync_replicas:
-        staying = [c for c in staying if c.received == furthest]
-    best = max(staying or heard, key=lambda c: (c.received, c.endpoint))
+        preferred = [c for c in preferred if c.received == latest_position]
+    best = max(preferred or responding, key=lambda c: (c.received, c.endpoint))
     return best.endpoint
--- a/chivescale/promotion/_detector.py
+++ b/chivescale/promotion/_detector.py
@@ -1,27 +1,29 @@
-"""Tells a primary that is gone from one that is slow or partly cut off."""
+"""Failure detector of a primary, based on probes and reachability reports.
+
+It distinguishes a dead primary from one that is slow or partly cut off.
+"""
 
 import enum
 
 import msgspec
 
-# A pause up to 300 ms is normal for an endpoint under load.
-SILENCE_SUSPECT_S = 0.3
-# Silence for this long, confirmed by entry hosts, ends a primary's lead.
-SILENCE_DEAD_S = 0.55
-# A refused connection proves that no process listens; the second one rules
-# out a single reset on the way.
-REFUSALS_DEAD = 2
-# Entry hosts get this long to say whether they reach the primary.
+# Pauses of up to 300 ms are normal for an endpoint under load.
+SUSPECT_AFTER_SILENCE_S = 0.3
+# Silence after which a primary counts as dead, if the entry hosts confirm it.
+DEAD_AFTER_SILENCE_S = 0.55
+# A refused connection shows that no process listens. A second one rules out a
+# single reset by the network.
+DEAD_AFTER_REFUSALS = 2
+# Time for entry hosts to report whether they reach the primary.
 OPINION_WAIT_S = 0.2
-# An opinion is used for this long.
-OPINION_KEPT_S = 1.0
-# The detector's own timer is this late only if its process was paused; what
-# it missed meanwhile proves nothing about the primary.
-LATE_TICK_S = 0.5
+MAX_OPINION_AGE_S = 1.0
+# A longer gap between ticks means that the process of the detector was paused.
+# Answers missed in the meantime are no evidence against the primary.
+MAX_TICK_GAP_S = 0.5
 
 
 class Verdict(enum.Enum):
-    """What is known of a primary."""
+    """State of a primary as judged by the detector."""
 
     ALIVE = enum.auto()
     SUSPECT = enum.auto()
@@ -29,14 +31,14 @@
 
 
 class Opinion(msgspec.Struct):
-    """What an entry host said of the primary."""
+    """Report of an entry host on whether it reaches the primary."""
 
     reachable: bool
-    said_at: float
+    reported_at: float
 
 
 class PrimaryDetector:
-    """Observes one incarnation of a primary.
+    """Judges one incarnation of a primary.
 
     Parameters
     ----------
@@ -46,11 +48,11 @@
     Attributes
     ----------
     answered_at : float
-        When the last answered probe was sent, or the start.
+        When the last answered probe was sent, or the start of observation.
     refusals : int
-        Refused connections in a row.
+        Number of consecutive refused connections.
     opinions : dict of str to Opinion
-        Last opinion of each entry host.
+        Latest report of each entry host.
     """
 
     __slots__ = (
@@ -70,50 +72,55 @@
         self.ticked_at = now
         self.opinions: dict[str, Opinion] = {}
 
-    def answered(self, sent_at: float) -> None:
-        """Note an answered probe."""
+    def record_answer(self, sent_at: float) -> None:
+        """Record an answered probe."""
         self.answered_at = max(self.answered_at, sent_at)
         self.failed_at = None
         self.suspected_at = None
         self.refusals = 0
 
-    def failed(self, refused: bool, now: float) -> None:
-        """Note a probe without an answer or a refused connection."""
+    def record_failure(self, refused: bool, now: float) -> None:
+        """Record an unanswered probe or a refused connection."""
         self.failed_at = now
         self.refusals = self.refusals + 1 if refused else 0
 
-    def opinion(self, host: str, reachable: bool, now: float) -> None:
-        """Note what an entry host says."""
+    def record_opinion(self, host: str, reachable: bool, now: float) -> None:
+        """Record whether an entry host reaches the primary."""
         self.opinions[host] = Opinion(reachable, now)
 
-    def verdict(self, now: float) -> Verdict:
-        """Judge the primary; called at short intervals."""
-        if now - self.ticked_at > LATE_TICK_S:
-            self.answered(now)
+    def evaluate(self, now: float) -> Verdict:
+        """Return the verdict on the primary; call this at every tick."""
+        if now - self.ticked_at > MAX_TICK_GAP_S:
+            self.record_answer(now)
         self.ticked_at = now
         silence = now - self.answered_at
         failing = self.failed_at is not None
-        if not failing or (silence < SILENCE_SUSPECT_S and not self.refusals):
+        if not failing or (
+            silence < SUSPECT_AFTER_SILENCE_S and not self.refusals
+        ):
             self.suspected_at = None
             return Verdict.ALIVE
         if self.suspected_at is None:
             self.suspected_at = now
-        if self._seems_dead(silence) and self._hosts_agree(now):
+        if self._is_unresponsive(silence) and self._no_majority_reaches(now):
             return Verdict.DEAD
         return Verdict.SUSPECT
 
-    def _seems_dead(self, silence: float) -> bool:
-        return self.refusals >= REFUSALS_DEAD or silence >= SILENCE_DEAD_S
+    def _is_unresponsive(self, silence: float) -> bool:
+        return (
+            self.refusals >= DEAD_AFTER_REFUSALS
+            or silence >= DEAD_AFTER_SILENCE_S
+        )
 
-    def _hosts_agree(self, now: float) -> bool:
-        """Tell whether no majority of entry hosts reaches the primary."""
+    def _no_majority_reaches(self, now: float) -> bool:
+        """Tell whether recent reports lack a majority that reaches it."""
         if now - self.suspected_at < OPINION_WAIT_S:
             return False
         recent = [
             opinion
             for opinion in self.opinions.values()
-            if opinion.said_at >= self.suspected_at
-            and now - opinion.said_at <= OPINION_KEPT_S
+            if opinion.reported_at >= self.suspected_at
+            and now - opinion.reported_at <= MAX_OPINION_AGE_S
         ]
         reachable = sum(opinion.reachable for opinion in recent)
         return reachable * 2 <= len(recent)
--- a/chivescale/promotion/tests/promotion.feature
+++ b/chivescale/promotion/tests/promotion.feature
@@ -1,7 +1,7 @@
 Feature: Replacement of primaries
-  Guards against a promotion for a pause, a slow answer or the view of one
-  host, against a dead primary that stays, and against the choice of a
-  replica that lacks an acknowledged commit.
+  Guards against promotions caused by a pause, a slow answer or the view of a
+  single host, against dead primaries that are not replaced, and against the
+  selection of a replica that lacks an acknowledged commit.
 
   Scenario Outline: Verdict on a primary
     Given a primary that answered every probe for 2 s
@@ -9,20 +9,20 @@
     Then the verdict is <verdict>
 
     Examples:
-      | behaves          | ms   | opinions     | verdict |
-      | answers          | 1000 |              | alive   |
-      | is silent        | 300  | ---          | suspect |
-      | is silent        | 600  | ---          | dead    |
-      | is silent        | 1200 | ---          | dead    |
-      | is silent        | 1200 |              | dead    |
-      | is silent        | 1200 | +++-         | suspect |
-      | is silent        | 1200 | ++--         | dead    |
-      | refuses          | 600  | --           | dead    |
-      | refuses          | 600  | ++           | suspect |
-      | refuses once     | 1000 |              | alive   |
-      | lets the host wait | 3000 |            | alive   |
+      | behaves                     | ms   | opinions     | verdict |
+      | answers                     | 1000 |              | alive   |
+      | is silent                   | 300  | ---          | suspect |
+      | is silent                   | 600  | ---          | dead    |
+      | is silent                   | 1200 | ---          | dead    |
+      | is silent                   | 1200 |              | dead    |
+      | is silent                   | 1200 | +++-         | suspect |
+      | is silent                   | 1200 | ++--         | dead    |
+      | refuses                     | 600  | --           | dead    |
+      | refuses                     | 600  | ++           | suspect |
+      | refuses once                | 1000 |              | alive   |
+      | is checked by a paused host | 3000 |              | alive   |
 
-  Scenario Outline: Choice of the successor
+  Scenario Outline: Selection of the successor
     Given replicas <replicas> and <sync> synchronous copies
     Then the successor is <successor>
 
--- a/chivescale/promotion/tests/steps/promotion_steps.py
+++ b/chivescale/promotion/tests/steps/promotion_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the detection and choice of primaries."""
+"""Steps for the detection of failed primaries and the choice of one."""
 
 from behave import given, then, when
 
@@ -15,60 +15,60 @@
 
 
 def run(context, ms: int, opinions: str, probe) -> None:
-    """Tick the detector; `probe` handles each probe."""
+    """Tick the detector and call `probe` for each probe."""
     end = context.now + ms / 1000
     next_probe = context.now
     while context.now < end:
         if context.now >= next_probe:
             probe(context.now)
             next_probe += PROBE_S
-        context.verdict = context.detector.verdict(context.now)
+        context.verdict = context.detector.evaluate(context.now)
         if context.verdict.name == "SUSPECT":
             for number, opinion in enumerate(opinions):
-                context.detector.opinion(
+                context.detector.record_opinion(
                     f"h{number}", opinion == "+", context.now
                 )
         context.now += TICK_S
 
 
 @given("a primary that answered every probe for 2 s")
-def answered(context):
+def answered_every_probe(context):
     context.now = 1000.0
     context.detector = PrimaryDetector(context.now)
-    run(context, 2000, "", context.detector.answered)
+    run(context, 2000, "", context.detector.record_answer)
 
 
 @when('it {behaves} for {ms:d} ms and entry hosts say "{opinions}"')
 def behaves(context, behaves, ms, opinions):
-    behave(context, behaves, ms, opinions)
+    run_behavior(context, behaves, ms, opinions)
 
 
 @when('it {behaves} for {ms:d} ms and entry hosts say ""')
-def behaves_alone(context, behaves, ms):
-    behave(context, behaves, ms, "")
+def behaves_without_opinions(context, behaves, ms):
+    run_behavior(context, behaves, ms, "")
 
 
-def behave(context, behaves, ms, opinions):
+def run_behavior(context, behaves, ms, opinions):
     detector = context.detector
     refused = []
 
     def refuse_once(now):
         if refused:
-            detector.answered(now)
+            detector.record_answer(now)
         else:
             refused.append(now)
-            detector.failed(True, now)
+            detector.record_failure(True, now)
 
-    if behaves == "lets the host wait":
-        # The host itself did not run; it missed probes and answers.
+    if behaves == "is checked by a paused host":
+        # The detecting host was paused: it sent no probes, saw no answers.
         context.now += ms / 1000
-        detector.failed(False, context.now)
-        context.verdict = detector.verdict(context.now)
+        detector.record_failure(False, context.now)
+        context.verdict = detector.evaluate(context.now)
         return
     probe = {
-        "answers": detector.answered,
-        "is silent": lambda now: detector.failed(False, now),
-        "refuses": lambda now: detector.failed(True, now),
+        "answers": detector.record_answer,
+        "is silent": lambda now: detector.record_failure(False, now),
+        "refuses": lambda now: detector.record_failure(True, now),
         "refuses once": refuse_once,
     }[behaves]
     run(context, ms, opinions, probe)
