--- a/chivescale/coordinator/_host.py
+++ b/chivescale/coordinator/_host.py
@@ -268,16 +268,16 @@
         entry host then has to stop sending new work in time. So another
         coordinator has to know of it too.
         """
-        news = self.registry.note(beat, now())
+        news = self.registry.record_heartbeat(beat, now())
         if not news:
             return None
         return await self.spread.share(beat, urgent=beat.draining)
 
     async def note_farewell(self, endpoint: str, born_ms: int) -> None:
         """Take over the farewell of an endpoint."""
-        if self.registry.leave(endpoint, born_ms, now()):
-            view = self.registry.views[endpoint]
-            await self.spread.share(view.beat, urgent=False)
+        if self.registry.deregister(endpoint, born_ms, now()):
+            entry = self.registry.entries[endpoint]
+            await self.spread.share(entry.heartbeat, urgent=False)
 
     async def reserve_token(
         self, service: str, endpoint: str
--- a/chivescale/coordinator/_promoter.py
+++ b/chivescale/coordinator/_promoter.py
@@ -17,7 +17,7 @@
     Verdict,
     choose_successor,
 )
-from chivescale.registry import EndpointView
+from chivescale.registry import EndpointEntry
 from chivescale.telemetry import log_event
 
 # Between two probes of a primary.
@@ -132,12 +132,12 @@
         watched = self.watched.get(service)
         if watched is not None and watched.replacement is not None:
             return watched
-        view = self._primary(service)
-        if view is not None:
+        entry = self._primary(service)
+        if entry is not None:
             self.unclaimed_since.pop(service, None)
-        if view is None:
+        if entry is None:
             return watched or self._watch_none(service)
-        beat = view.beat
+        beat = entry.heartbeat
         if watched is None or (watched.endpoint, watched.born_ms) != (
             beat.endpoint,
             beat.born_ms,
@@ -159,7 +159,7 @@
 
         It may have ended while no coordinator was up to hear of it.
         """
-        if not self.host.registry.of_service(service):
+        if not self.host.registry.service_endpoints(service):
             return None
         time = now()
         since = self.unclaimed_since.setdefault(service, time)
@@ -171,20 +171,20 @@
         self.watched[service] = watched
         return watched
 
-    def _primary(self, service: str) -> EndpointView | None:
+    def _primary(self, service: str) -> EndpointEntry | None:
         """Return the endpoint that called itself primary last."""
         claims = [
-            view
-            for view in self.host.registry.of_service(service)
-            if view.primary_since
+            entry
+            for entry in self.host.registry.service_endpoints(service)
+            if entry.primary_since
         ]
-        return max(claims, key=lambda view: view.primary_since, default=None)
+        return max(claims, key=lambda entry: entry.primary_since, default=None)
 
     def _must_go(self, watched: Watched, verdict: Verdict) -> bool:
-        view = self.host.registry.views.get(watched.endpoint)
-        if view is None or view.beat.gone:
+        entry = self.host.registry.entries.get(watched.endpoint)
+        if entry is None or entry.heartbeat.gone:
             return True
-        return verdict is Verdict.DEAD or view.beat.draining
+        return verdict is Verdict.DEAD or entry.heartbeat.draining
 
     # Probes.
 
@@ -193,13 +193,13 @@
         link = self.links.get(endpoint)
         if link is not None and link.usable:
             return link
-        view = self.host.registry.views.get(endpoint)
-        if view is None:
+        entry = self.host.registry.entries.get(endpoint)
+        if entry is None:
             return Failure(ErrorKind.UNREACHABLE, "endpoint is not known")
         opened = await open_link(
             self.dialect,
-            view.beat.address,
-            view.beat.service,
+            entry.heartbeat.address,
+            entry.heartbeat.service,
             endpoint,
             PROBE_TIMEOUT_S,
         )
@@ -281,7 +281,7 @@
         service = watched.service
         current = self._primary(service)
         if current is not None and (
-            (current.beat.endpoint, current.beat.born_ms)
+            (current.heartbeat.endpoint, current.heartbeat.born_ms)
             != (watched.endpoint, watched.born_ms)
         ):
             return True
@@ -322,45 +322,48 @@
         has lost may still commit. So the replicas stop receiving before
         their positions count; at a hand-over all but the successor do.
         """
-        views = self._replicas(watched)
+        entries = self._replicas(watched)
         sync_replicas = self._sync_replicas(watched.service)
         ask = self.dialect.state_text()
         if sync_replicas and dead:
-            term = await self._newest_term(views)
+            term = await self._newest_term(entries)
             ask = self.dialect.pause_text(term + 1)
         states = await asyncio.gather(
-            *(self._state(view.beat.endpoint, ask) for view in views)
+            *(self._state(entry.heartbeat.endpoint, ask) for entry in entries)
         )
         candidates = [
             Candidate(
-                view.beat.endpoint,
+                entry.heartbeat.endpoint,
                 state.received if state is not None else None,
-                view.beat.draining,
+                entry.heartbeat.draining,
             )
-            for view, state in zip(views, states, strict=True)
+            for entry, state in zip(entries, states, strict=True)
         ]
         target = choose_successor(candidates, sync_replicas)
         if sync_replicas and not dead and not is_failure(target):
             term = max(s.term for s in states if s is not None)
             pause = self.dialect.pause_text(term + 1)
-            others = [v for v in views if v.beat.endpoint != target]
+            others = [v for v in entries if v.heartbeat.endpoint != target]
             await asyncio.gather(
-                *(self._state(view.beat.endpoint, pause) for view in others)
+                *(
+                    self._state(entry.heartbeat.endpoint, pause)
+                    for entry in others
+                )
             )
         return target
 
-    def _replicas(self, watched: Watched) -> list[EndpointView]:
+    def _replicas(self, watched: Watched) -> list[EndpointEntry]:
         return [
-            view
-            for view in self.host.registry.of_service(watched.service)
-            if view.beat.endpoint != watched.endpoint
+            entry
+            for entry in self.host.registry.service_endpoints(watched.service)
+            if entry.heartbeat.endpoint != watched.endpoint
         ]
 
-    async def _newest_term(self, views: list[EndpointView]) -> int:
+    async def _newest_term(self, entries: list[EndpointEntry]) -> int:
         """Return the newest term that a replica knows."""
         text = self.dialect.state_text()
         states = await asyncio.gather(
-            *(self._state(view.beat.endpoint, text) for view in views)
+            *(self._state(entry.heartbeat.endpoint, text) for entry in entries)
         )
         return max((s.term for s in states if s is not None), default=0)
 
@@ -369,8 +372,8 @@
         text = self.dialect.resume_text()
         await asyncio.gather(
             *(
-                self._state(view.beat.endpoint, text)
-                for view in self._replicas(watched)
+                self._state(entry.heartbeat.endpoint, text)
+                for entry in self._replicas(watched)
             )
         )
         log_event("replicas_resumed", service=watched.service)
--- a/chivescale/coordinator/_spread.py
+++ b/chivescale/coordinator/_spread.py
@@ -12,7 +12,7 @@
     WatchAnswer,
     WatchRequest,
 )
-from chivescale.registry import EndpointBeat, EndpointView
+from chivescale.registry import EndpointBeat, EndpointEntry
 
 # Upper limit of a long poll; a host that waits longer could not tell a
 # silent connection from a quiet system.
@@ -109,8 +109,8 @@
                 else b""
             ),
             endpoints=tuple(
-                _news(view, time)
-                for view in host.registry.changed_since(since)
+                _news(entry, time)
+                for entry in host.registry.changed_since(since)
             ),
             members={
                 address: self.zones.get(address, "")
@@ -183,7 +183,10 @@
     def merge(self, gossip: Gossip) -> None:
         """Take over what another coordinator knows."""
         time = now()
-        news = [self.host.registry.note(beat, time) for beat in gossip.beats]
+        news = [
+            self.host.registry.record_heartbeat(beat, time)
+            for beat in gossip.beats
+        ]
         self.hosts.merge(gossip.hosts, time)
         if gossip.sender:
             self.zones[gossip.sender] = gossip.zone
@@ -210,6 +213,6 @@
                 self._send(address, gossip)
 
 
-def _news(view: EndpointView, time: float) -> EndpointNews:
-    since = view.primary_since
-    return EndpointNews(view.beat, time - since if since else -1.0)
+def _news(entry: EndpointEntry, time: float) -> EndpointNews:
+    since = entry.primary_since
+    return EndpointNews(entry.heartbeat, time - since if since else -1.0)
--- a/chivescale/registry/__init__.py
+++ b/chivescale/registry/__init__.py
@@ -1,6 +1,6 @@
-"""Endpoints as they announce themselves by heartbeats."""
+"""Registry of the endpoints that announce themselves by heartbeats."""
 
-from chivescale.registry._records import EndpointBeat, EndpointView
+from chivescale.registry._records import EndpointBeat, EndpointEntry
 from chivescale.registry._registry import Registry
 
-__all__ = ["EndpointBeat", "EndpointView", "Registry"]
+__all__ = ["EndpointBeat", "EndpointEntry", "Registry"]
--- a/chivescale/registry/_records.py
+++ b/chivescale/registry/_records.py
@@ -1,28 +1,28 @@
-"""What is known of one endpoint."""
+"""Records of the endpoint registry."""
 
 import msgspec
 
 
 class EndpointBeat(msgspec.Struct, frozen=True):
-    """One heartbeat or the farewell of an endpoint.
+    """A heartbeat of an endpoint or its deregistration.
 
     Attributes
     ----------
     endpoint, service, address, zone : str
-        Identity and ``ip:port``.
+        Identifier, service, ``ip:port`` and availability zone.
     slots : int
-        Statements that it runs at a time.
+        Number of statements that it runs concurrently.
     draining : bool
-        Whether it will end soon and takes no new work.
+        Whether it is shutting down and accepts no new work.
     primary : bool
         Whether it considers itself the primary of its service.
     born_ms : int
-        Start of its process in Unix milliseconds; 0 if not stated. A
-        higher one is a later incarnation.
+        Start of its process in Unix milliseconds; 0 if unknown. Later
+        incarnations have higher values.
     sequence : int
         Number of the heartbeat within its incarnation.
     gone : bool
-        Whether it has ended.
+        Whether it has terminated or was deregistered.
     """
 
     endpoint: str
@@ -38,26 +38,26 @@
 
     @property
     def order(self) -> tuple[int, bool, int]:
-        """Sort key by which a later statement replaces an earlier one."""
+        """Version key; a heartbeat replaces those with lower keys."""
         return (self.born_ms, self.gone, self.sequence)
 
 
-class EndpointView(msgspec.Struct):
-    """Last statement of an endpoint and when it was heard.
+class EndpointEntry(msgspec.Struct):
+    """Latest heartbeat of an endpoint and the time of its arrival.
 
     Attributes
     ----------
-    beat : EndpointBeat
-        Newest statement.
-    heard_at : float
-        Time of the newest statement in seconds.
+    heartbeat : EndpointBeat
+        Latest heartbeat.
+    received_at : float
+        Arrival time of the latest heartbeat, in seconds.
     primary_since : float
-        When it first called itself primary; 0 if it does not.
+        When it first reported to be primary, in seconds; 0 if it does not.
     revision : int
-        Number of the last change that matters to entry hosts.
+        Registry revision of the last change that entry hosts need.
     """
 
-    beat: EndpointBeat
-    heard_at: float
+    heartbeat: EndpointBeat
+    received_at: float
     primary_since: float
     revision: int
--- a/chivescale/registry/_registry.py
+++ b/chivescale/registry/_registry.py
@@ -1,143 +1,153 @@
-"""Merges the statements of endpoints, in any order of arrival."""
+"""Registry that merges heartbeats received in any order."""
 
 import msgspec
 
-from chivescale.registry._records import EndpointBeat, EndpointView
+from chivescale.registry._records import EndpointBeat, EndpointEntry
 
-# An endpoint that is silent for this long is forgotten. Longer than any
-# pause or partition that an endpoint survives.
-FORGET_AFTER_S = 30.0
-# A farewell is remembered for longer than a delayed heartbeat can travel.
-GONE_KEPT_S = 60.0
-# Bounds the memory that unknown writers can take.
+# Silence after which an endpoint counts as gone. It exceeds every pause and
+# partition that an endpoint survives.
+SILENT_EXPIRY_S = 30.0
+# Entries of gone endpoints are kept longer than a heartbeat can be delayed.
+TOMBSTONE_RETENTION_S = 60.0
+# Bounds the memory that unknown senders can occupy.
 MAX_ENDPOINTS = 20_000
 
 
 class Registry:
-    """Endpoints by their identifier.
+    """Registered endpoints by identifier.
 
-    Statements may be delayed, repeated and delivered through several
-    control hosts, so each is accepted only if its `EndpointBeat.order` is
-    above the known one. A later incarnation at the same address ends the
+    Heartbeats can be delayed, repeated and delivered through several control
+    hosts. One is accepted only if its `EndpointBeat.order` is above that of
+    the known one. A later incarnation at the same address supersedes the
     earlier one.
 
     Attributes
     ----------
-    views : dict of str to EndpointView
-        Known endpoints, also those that are gone.
+    entries : dict of str to EndpointEntry
+        Known endpoints, including those that are gone.
     revision : int
-        Number of the last change that matters to entry hosts.
+        Number of the last change that entry hosts need.
     """
 
     def __init__(self):
-        self.views: dict[str, EndpointView] = {}
+        self.entries: dict[str, EndpointEntry] = {}
         self.by_address: dict[str, str] = {}
         self.revision = 0
 
-    def note(self, beat: EndpointBeat, now: float) -> bool:
-        """Take over a statement.
+    def record_heartbeat(self, heartbeat: EndpointBeat, now: float) -> bool:
+        """Store a heartbeat unless a later one is known.
 
         Parameters
         ----------
-        beat : EndpointBeat
-            Statement.
+        heartbeat : EndpointBeat
+            Heartbeat to store.
         now : float
-            Seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether it is news; False for a late or repeated one.
+            Whether it was stored; False if it is late or repeated.
         """
-        known = self.views.get(beat.endpoint)
-        if known is not None and beat.order <= known.beat.order:
+        known = self.entries.get(heartbeat.endpoint)
+        if known is not None and heartbeat.order <= known.heartbeat.order:
             return False
-        if known is None and len(self.views) >= MAX_ENDPOINTS:
+        if known is None and len(self.entries) >= MAX_ENDPOINTS:
             return False
-        if not beat.gone and not self._take_address(beat, now):
+        if not heartbeat.gone and not self._claim_address(heartbeat, now):
             return False
-        same = known is not None and _relevant(known.beat) == _relevant(beat)
-        if not same:
+        unchanged = known is not None and _without_sequence(
+            known.heartbeat
+        ) == _without_sequence(heartbeat)
+        if not unchanged:
             self.revision += 1
         since = 0.0
-        if beat.primary and not beat.gone:
-            kept = known is not None and known.beat.primary
-            kept = kept and known.beat.born_ms == beat.born_ms
-            since = known.primary_since if kept else now
-        revision = known.revision if same else self.revision
-        self.views[beat.endpoint] = EndpointView(beat, now, since, revision)
+        if heartbeat.primary and not heartbeat.gone:
+            still_primary = known is not None and known.heartbeat.primary
+            still_primary = (
+                still_primary and known.heartbeat.born_ms == heartbeat.born_ms
+            )
+            since = known.primary_since if still_primary else now
+        revision = known.revision if unchanged else self.revision
+        self.entries[heartbeat.endpoint] = EndpointEntry(
+            heartbeat, now, since, revision
+        )
         return True
 
-    def _take_address(self, beat: EndpointBeat, now: float) -> bool:
-        """Let the latest incarnation at an address replace the others."""
-        holder = self.views.get(self.by_address.get(beat.address, ""))
+    def _claim_address(self, heartbeat: EndpointBeat, now: float) -> bool:
+        """Assign the address unless a later incarnation holds it."""
+        previous = self.entries.get(self.by_address.get(heartbeat.address, ""))
         if (
-            holder is not None
-            and holder.beat.endpoint != beat.endpoint
-            and not holder.beat.gone
+            previous is not None
+            and previous.heartbeat.endpoint != heartbeat.endpoint
+            and not previous.heartbeat.gone
         ):
-            if holder.beat.born_ms > beat.born_ms:
+            if previous.heartbeat.born_ms > heartbeat.born_ms:
                 return False
-            self._end(holder, now)
-        self.by_address[beat.address] = beat.endpoint
+            self._mark_gone(previous, now)
+        self.by_address[heartbeat.address] = heartbeat.endpoint
         return True
 
-    def _end(self, view: EndpointView, now: float) -> None:
+    def _mark_gone(self, entry: EndpointEntry, now: float) -> None:
         self.revision += 1
-        view.beat = msgspec.structs.replace(view.beat, gone=True)
-        view.heard_at = now
-        view.primary_since = 0.0
-        view.revision = self.revision
+        entry.heartbeat = msgspec.structs.replace(entry.heartbeat, gone=True)
+        entry.received_at = now
+        entry.primary_since = 0.0
+        entry.revision = self.revision
 
-    def leave(self, endpoint: str, born_ms: int, now: float) -> bool:
-        """Note the farewell of an endpoint.
+    def deregister(self, endpoint: str, born_ms: int, now: float) -> bool:
+        """Mark an endpoint as gone at its own request.
 
         Parameters
         ----------
         endpoint : str
-            Identifier.
+            Identifier of the endpoint.
         born_ms : int
-            Incarnation that ends; 0 if not stated.
+            Incarnation that terminates; 0 if unknown.
         now : float
-            Seconds.
+            Current time in seconds.
 
         Returns
         -------
         bool
-            Whether the endpoint was known and has ended by this.
+            Whether this call marked a known endpoint as gone.
         """
-        view = self.views.get(endpoint)
-        if view is None or view.beat.gone:
+        entry = self.entries.get(endpoint)
+        if entry is None or entry.heartbeat.gone:
             return False
-        if born_ms and born_ms < view.beat.born_ms:
+        if born_ms and born_ms < entry.heartbeat.born_ms:
             return False
-        self._end(view, now)
+        self._mark_gone(entry, now)
         return True
 
     def expire(self, now: float) -> None:
-        """Forget endpoints that have been silent for long."""
-        for endpoint, view in list(self.views.items()):
-            age = now - view.heard_at
-            if not view.beat.gone and age > FORGET_AFTER_S:
-                self._end(view, now)
-            elif view.beat.gone and age > GONE_KEPT_S:
-                del self.views[endpoint]
-                if self.by_address.get(view.beat.address) == endpoint:
-                    del self.by_address[view.beat.address]
-
-    def changed_since(self, revision: int) -> list[EndpointView]:
-        """Return what entry hosts need that know `revision`."""
-        return [v for v in self.views.values() if v.revision > revision]
-
-    def of_service(self, service: str) -> list[EndpointView]:
-        """Return the endpoints of a service that have not ended."""
+        """Mark silent endpoints as gone and drop old tombstones."""
+        for endpoint, entry in list(self.entries.items()):
+            age = now - entry.received_at
+            if not entry.heartbeat.gone and age > SILENT_EXPIRY_S:
+                self._mark_gone(entry, now)
+            elif entry.heartbeat.gone and age > TOMBSTONE_RETENTION_S:
+                del self.entries[endpoint]
+                if self.by_address.get(entry.heartbeat.address) == endpoint:
+                    del self.by_address[entry.heartbeat.address]
+
+    def changed_since(self, revision: int) -> list[EndpointEntry]:
+        """Return the entries that changed after `revision`."""
         return [
-            view
-            for view in self.views.values()
-            if view.beat.service == service and not view.beat.gone
+            entry
+            for entry in self.entries.values()
+            if entry.revision > revision
+        ]
+
+    def service_endpoints(self, service: str) -> list[EndpointEntry]:
+        """Return the endpoints of a service that are not gone."""
+        return [
+            entry
+            for entry in self.entries.values()
+            if entry.heartbeat.service == service and not entry.heartbeat.gone
         ]
 
 
-def _relevant(beat: EndpointBeat) -> EndpointBeat:
-    """Return a heartbeat without what changes with each of them."""
-    return msgspec.structs.replace(beat, sequence=0)
+def _without_sequence(heartbeat: EndpointBeat) -> EndpointBeat:
+    """Return a heartbeat without the field that always changes."""
+    return msgspec.structs.replace(heartbeat, sequence=0)
