--- a/chivescale/coordinator/__init__.py
+++ b/chivescale/coordinator/__init__.py
@@ -1,4 +1,4 @@
-"""Control role for services whose promotions another system carries out."""
+"""Control role for services with external promotion."""
 
 from chivescale.coordinator._host import CoordinatorHost, CoordinatorSettings
 
--- a/chivescale/coordinator/_spread.py
+++ b/chivescale/coordinator/_distributor.py
@@ -1,4 +1,4 @@
-"""Spreads configuration and endpoints to coordinators and entry hosts."""
+"""Distributes state to entry hosts and between coordinators."""
 
 import asyncio
 
@@ -14,39 +14,39 @@
 )
 from chivescale.registry import EndpointBeat, EndpointEntry
 
-# Upper limit of a long poll; a host that waits longer could not tell a
-# silent connection from a quiet system.
+# Upper limit of a long poll. With longer polls a host could not distinguish a
+# silent connection from a system without changes.
 MAX_WATCH_S = 1.0
-# How often a waiting poll looks whether contact was lost.
+# Interval at which a waiting poll checks the contact with the quorum.
 CONTACT_CHECK_S = 0.25
-# A coordinator that has not heard of a quorum for this long tells the entry
-# hosts, so that they turn to another one.
-LOST_CONTACT_S = 0.5
-# Period in which coordinators tell each other which entry hosts they heard.
-EXCHANGE_S = 1.0
-# Another coordinator answers within this time or counts as out of reach.
-SHARE_TIMEOUT_S = 0.4
-# With this many coordinators knowing of a leaving endpoint, the loss of one
-# loses nothing.
-COPIES_OF_URGENT = 2
+# A coordinator without contact to a quorum for this long answers the polls, so
+# that the entry hosts switch to another one.
+MAX_QUORUM_CONTACT_AGE_S = 0.5
+# Interval of the gossip about entry hosts and suspects.
+GOSSIP_INTERVAL_S = 1.0
+# A coordinator that does not answer within this time counts as unreachable.
+GOSSIP_TIMEOUT_S = 0.4
+# Coordinators that have to know of a draining endpoint, including this one, so
+# that the information survives the loss of one of them.
+MIN_URGENT_COPIES = 2
 
 
-class Spread:
-    """Long polls of entry hosts and gossip between coordinators.
+class Distributor:
+    """Answers long polls of entry hosts and gossips with coordinators.
 
     Parameters
     ----------
     host : CoordinatorHost
-        Owner.
+        Coordinator that owns this object.
 
     Attributes
     ----------
     hosts : EntryHosts
-        Entry hosts heard by any coordinator.
+        Entry hosts known to any coordinator.
     zones : dict of str to str
-        Zones of the coordinators by address.
+        Availability zones of the coordinators, by address.
     suspects : tuple of str
-        Endpoints about which the leader wants an opinion.
+        Endpoints whose reachability the entry hosts should report.
     """
 
     def __init__(self, host):
@@ -58,17 +58,17 @@
         self.waiters: set[asyncio.Future] = set()
         self.tasks: set[asyncio.Task] = set()
 
-    def wake(self) -> None:
-        """Answer the waiting long polls."""
+    def notify_waiters(self) -> None:
+        """Wake the waiting long polls."""
         for waiter in self.waiters:
             if not waiter.done():
                 waiter.set_result(None)
 
     async def watch(self, request: WatchRequest) -> WatchAnswer:
-        """Answer a long poll as soon as there is news."""
-        self.hosts.note(request.host, request.leaving, now())
+        """Answer a long poll, at once if anything changed."""
+        self.hosts.update(request.host, request.leaving, now())
         deadline = now() + min(request.wait_ms / 1000, MAX_WATCH_S)
-        while not self._has_news(request) and now() < deadline:
+        while not self._has_changes(request) and now() < deadline:
             waiter = asyncio.get_running_loop().create_future()
             self.waiters.add(waiter)
             try:
@@ -79,37 +79,37 @@
                 continue
             finally:
                 self.waiters.discard(waiter)
-        return self._answer(request)
+        return self._build_answer(request)
 
-    def _has_news(self, request: WatchRequest) -> bool:
+    def _has_changes(self, request: WatchRequest) -> bool:
         host = self.host
         return (
-            host.contact_age_s() > LOST_CONTACT_S
-            or request.boot != host.boot
+            host.contact_age_s() > MAX_QUORUM_CONTACT_AGE_S
+            or request.boot != host.boot_id
             or request.revision < host.registry.revision
             or request.version < host.state.catalog.version
             or request.hosts_revision != self.hosts.revision
             or request.suspects != self.suspects
         )
 
-    def _answer(self, request: WatchRequest) -> WatchAnswer:
+    def _build_answer(self, request: WatchRequest) -> WatchAnswer:
         host = self.host
-        same_boot = request.boot == host.boot
-        since = request.revision if same_boot else -1
+        same_process = request.boot == host.boot_id
+        since = request.revision if same_process else -1
         hosts = self.hosts
-        hosts_known = same_boot and request.hosts_revision == hosts.revision
+        hosts_known = same_process and request.hosts_revision == hosts.revision
         catalog = host.state.catalog
         time = now()
         return WatchAnswer(
-            boot=host.boot,
+            boot=host.boot_id,
             revision=host.registry.revision,
             catalog=(
-                host.state.packed_catalog
+                host.state.compressed_catalog
                 if request.version < catalog.version
                 else b""
             ),
             endpoints=tuple(
-                _news(entry, time)
+                _endpoint_news(entry, time)
                 for entry in host.registry.changed_since(since)
             ),
             members={
@@ -119,7 +119,7 @@
             leader=host.agreement.leader_address,
             age_s=min(host.contact_age_s(), 1e6),
             hosts_revision=hosts.revision,
-            hosts=() if hosts_known else hosts.staying,
+            hosts=() if hosts_known else hosts.active,
             suspects=self.suspects,
         )
 
@@ -127,45 +127,50 @@
         configuration = self.host.agreement.configuration
         return tuple(member.address for member in configuration.members)
 
-    def others(self) -> list[str]:
+    def peer_addresses(self) -> list[str]:
         """Return the addresses of the other coordinators."""
         own = self.host.settings.address
         known = {*self._members(), *self.host.settings.seeds}
         return sorted(known - {own})
 
-    async def share(self, beat: EndpointBeat, urgent: bool) -> Failure | None:
-        """Tell the other coordinators of an endpoint.
+    async def share_heartbeat(
+        self, heartbeat: EndpointBeat, urgent: bool
+    ) -> Failure | None:
+        """Send a heartbeat to the other coordinators.
 
         Parameters
         ----------
-        beat : EndpointBeat
-            Statement of the endpoint.
+        heartbeat : EndpointBeat
+            Heartbeat to send.
         urgent : bool
-            Whether to wait until another coordinator has it.
+            Whether to wait until another coordinator has confirmed it.
         """
-        self.wake()
-        gossip = Gossip(beats=(beat,))
-        calls = [self._send(address, gossip) for address in self.others()]
+        self.notify_waiters()
+        gossip = Gossip(beats=(heartbeat,))
+        calls = [
+            self._send_gossip(address, gossip)
+            for address in self.peer_addresses()
+        ]
         if not urgent:
             return None
         copies = 1
         for answer in asyncio.as_completed(calls):
             copies += not is_failure(await answer)
-            if copies >= COPIES_OF_URGENT:
+            if copies >= MIN_URGENT_COPIES:
                 return None
-        reason = "no other coordinator could be told"
+        reason = "no other coordinator confirmed the heartbeat"
         return Failure(ErrorKind.NO_QUORUM, reason)
 
     def share_suspects(self, suspects: tuple[str, ...]) -> None:
-        """Tell everyone which endpoints the leader suspects."""
+        """Send the suspected endpoints to coordinators and entry hosts."""
         if suspects == self.suspects:
             return
         self.suspects = suspects
-        self.wake()
-        for address in self.others():
-            self._send(address, Gossip(suspects=suspects))
+        self.notify_waiters()
+        for address in self.peer_addresses():
+            self._send_gossip(address, Gossip(suspects=suspects))
 
-    def _send(self, address: str, gossip: Gossip) -> asyncio.Task:
+    def _send_gossip(self, address: str, gossip: Gossip) -> asyncio.Task:
         task = asyncio.ensure_future(
             self.host.client.call(
                 address,
@@ -173,46 +178,46 @@
                 "/v1/gossip",
                 Done,
                 gossip,
-                timeout_s=SHARE_TIMEOUT_S,
+                timeout_s=GOSSIP_TIMEOUT_S,
             )
         )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    def merge(self, gossip: Gossip) -> None:
-        """Take over what another coordinator knows."""
+    def merge_gossip(self, gossip: Gossip) -> None:
+        """Apply the state that another coordinator sent."""
         time = now()
-        news = [
-            self.host.registry.record_heartbeat(beat, time)
-            for beat in gossip.beats
+        changes = [
+            self.host.registry.record_heartbeat(heartbeat, time)
+            for heartbeat in gossip.beats
         ]
         self.hosts.merge(gossip.hosts, time)
         if gossip.sender:
             self.zones[gossip.sender] = gossip.zone
         if gossip.suspects is not None:
-            news.append(gossip.suspects != self.suspects)
+            changes.append(gossip.suspects != self.suspects)
             self.suspects = gossip.suspects
-        if any(news):
-            self.wake()
+        if any(changes):
+            self.notify_waiters()
 
     async def run(self) -> None:
-        """Exchange soft state at intervals."""
+        """Expire old entries and exchange soft state at intervals."""
         while True:
-            await asyncio.sleep(EXCHANGE_S)
+            await asyncio.sleep(GOSSIP_INTERVAL_S)
             time = now()
             self.host.registry.expire(time)
             self.hosts.expire(time)
             gossip = Gossip(
                 sender=self.host.settings.address,
                 zone=self.host.settings.zone,
-                hosts=self.hosts.to_message(time),
+                hosts=self.hosts.to_gossip(time),
                 suspects=self.suspects if self.host.leading else None,
             )
-            for address in self.others():
-                self._send(address, gossip)
+            for address in self.peer_addresses():
+                self._send_gossip(address, gossip)
 
 
-def _news(entry: EndpointEntry, time: float) -> EndpointNews:
+def _endpoint_news(entry: EndpointEntry, time: float) -> EndpointNews:
     since = entry.primary_since
     return EndpointNews(entry.heartbeat, time - since if since else -1.0)
--- a/chivescale/coordinator/_entry_hosts.py
+++ b/chivescale/coordinator/_entry_hosts.py
@@ -1,4 +1,4 @@
-"""Which entry hosts there are, as coordinators heard of them."""
+"""Registry of the entry hosts that contacted any coordinator."""
 
 import msgspec
 
@@ -6,15 +6,15 @@
 from chivescale.messages import EntryHostRecord
 from chivescale.telemetry import log_event
 
-# Entry hosts that were not heard for this long are not counted any more.
-HOST_KEPT_S = 5.0
+# Entry hosts without contact for this long are removed.
+HOST_EXPIRY_S = 5.0
 
 
-class Seen(msgspec.Struct):
-    """When an entry host was heard, and whether it said that it stops."""
+class HostContact(msgspec.Struct):
+    """Last contact of an entry host and whether it is stopping."""
 
     record: EntryHostRecord
-    heard_at: float
+    received_at: float
     leaving: bool
 
 
@@ -23,48 +23,56 @@
 
     Attributes
     ----------
-    seen : dict of str to Seen
-        Hosts heard lately, leaving ones among them.
+    contacts : dict of str to HostContact
+        Recent contacts, including hosts that are stopping.
     revision : int
-        Grows with each change of the hosts that stay.
+        Incremented when a host is added, changed or removed.
     """
 
     def __init__(self):
-        self.seen: dict[str, Seen] = {}
+        self.contacts: dict[str, HostContact] = {}
         self.revision = 0
 
     @property
-    def staying(self) -> tuple[EntryHostRecord, ...]:
-        """Hosts that have not said that they stop."""
-        return tuple(s.record for s in self.seen.values() if not s.leaving)
+    def active(self) -> tuple[EntryHostRecord, ...]:
+        """Hosts that are not stopping."""
+        return tuple(
+            contact.record
+            for contact in self.contacts.values()
+            if not contact.leaving
+        )
 
-    def note(
-        self, record: EntryHostRecord, leaving: bool, heard_at: float
+    def update(
+        self, record: EntryHostRecord, leaving: bool, received_at: float
     ) -> None:
-        """Take over what a host said at `heard_at`, unless newer is known."""
-        known = self.seen.get(record.name)
-        if known is not None and heard_at < known.heard_at:
+        """Store a contact unless a later one is known."""
+        known = self.contacts.get(record.name)
+        if known is not None and received_at < known.received_at:
             return
-        self.seen[record.name] = Seen(record, heard_at, leaving)
+        self.contacts[record.name] = HostContact(record, received_at, leaving)
         if known is None or (known.record, known.leaving) != (record, leaving):
             self.revision += 1
 
     def merge(self, hosts: tuple[HostSeen, ...], time: float) -> None:
-        """Take over what another coordinator has heard."""
+        """Merge the contacts that another coordinator sent."""
         for host in hosts:
-            self.note(host.record, host.leaving, time - host.age_s)
+            self.update(host.record, host.leaving, time - host.age_s)
 
     def expire(self, time: float) -> None:
-        """Forget hosts that are silent."""
-        for name, seen in list(self.seen.items()):
-            if time - seen.heard_at > HOST_KEPT_S:
-                del self.seen[name]
+        """Remove hosts without recent contact."""
+        for name, contact in list(self.contacts.items()):
+            if time - contact.received_at > HOST_EXPIRY_S:
+                del self.contacts[name]
                 self.revision += 1
                 log_event("entry_host_silent", host=name)
 
-    def to_message(self, time: float) -> tuple[HostSeen, ...]:
-        """Return what other coordinators are told."""
+    def to_gossip(self, time: float) -> tuple[HostSeen, ...]:
+        """Return the contacts in the form sent to other coordinators."""
         return tuple(
-            HostSeen(s.record, round(time - s.heard_at, 3), s.leaving)
-            for s in self.seen.values()
+            HostSeen(
+                contact.record,
+                round(time - contact.received_at, 3),
+                contact.leaving,
+            )
+            for contact in self.contacts.values()
         )
--- a/chivescale/coordinator/_host.py
+++ b/chivescale/coordinator/_host.py
@@ -1,4 +1,4 @@
-"""Shell of the coordinator."""
+"""Host process of the coordinator role."""
 
 import asyncio
 import pathlib
@@ -15,6 +15,8 @@
 )
 from chivescale.catalog import Catalog, StoreResult
 from chivescale.clock import now
+from chivescale.coordinator._distributor import Distributor
+from chivescale.coordinator._membership import MembershipManager
 from chivescale.coordinator._messages import (
     Callers,
     DocumentAnswer,
@@ -25,8 +27,6 @@
 )
 from chivescale.coordinator._promoter import Promoter
 from chivescale.coordinator._replicated import DecodeDocument, ReplicatedState
-from chivescale.coordinator._spread import Spread
-from chivescale.coordinator._upkeep import Upkeep
 from chivescale.dialect import EndpointDialect
 from chivescale.errors import KIND_TABLE, ErrorKind, Failure, is_failure
 from chivescale.httpio import HttpClient, HttpRequest, HttpResponse
@@ -43,34 +43,34 @@
 from chivescale.settings import AgreementSettings, ControlMember
 from chivescale.telemetry import log_event
 
-# Heartbeats of the agreement. An election takes up to three times the
-# election timeout, which has to exceed a slow sync of a disk (150 ms).
+# Timing of the agreement. An election takes up to three election timeouts. The
+# timeout has to exceed a slow disk sync (150 ms).
 HEARTBEAT_MS = 100
 ELECTION_TIMEOUT_MS = 500
 SNAPSHOT_ENTRIES = 500
-# A caller gives up after one second and asks another host.
-ORDER_TIMEOUT_S = 0.9
+# Callers give up after one second and ask another host.
+COMMAND_TIMEOUT_S = 0.9
 READ_TIMEOUT_S = 0.7
 
 
 class CoordinatorSettings(msgspec.Struct, frozen=True):
-    """What a coordinator needs to know.
+    """Settings of a coordinator.
 
     Attributes
     ----------
     name : str
-        Name of the host, which is the holder of its promotions.
+        Name of the host, used as the holder of its promotions.
     zone : str
         Availability zone.
     address : str
-        Own ``ip:port``, by which the other members know this host.
+        Own ``ip:port``, which identifies this member in the group.
     seeds : tuple of str
-        Addresses of coordinators.
+        Addresses of coordinators to contact first.
     data_dir : str
-        Folder of the durable state.
+        Directory of the durable state.
     may_form : bool
-        Whether the group may be formed anew with the seeds as its first
-        members; False once it has existed.
+        Whether a new group with the seeds as its first members may be
+        formed; False once a group has existed.
     """
 
     name: str
@@ -82,7 +82,7 @@
 
 
 class CoordinatorHost:
-    """One coordinator: its member of the log and what it serves.
+    """A member of the coordinator group and its request handlers.
 
     Parameters
     ----------
@@ -91,11 +91,11 @@
     client : HttpClient
         Connections to the other coordinators.
     dialect : EndpointDialect
-        How endpoints are spoken to.
+        Protocol of the endpoints.
     authority : PromotionAuthority
-        Carries out promotions.
+        System that performs promotions.
     decode_document : callable
-        Decodes and checks a configuration as an operator sends it.
+        Decodes and validates a configuration document of an operator.
     """
 
     def __init__(
@@ -108,14 +108,14 @@
     ):
         self.settings = settings
         self.client = client
-        self.boot = uuid.uuid4().hex[:12]
+        self.boot_id = uuid.uuid4().hex[:12]
         self.decode_document = decode_document
         self.state = ReplicatedState(decode_document)
         self.registry = Registry()
         self.agreement = self.new_agreement()
-        self.spread = Spread(self)
+        self.distributor = Distributor(self)
         self.promoter = Promoter(self, dialect, authority)
-        self.upkeep = Upkeep(self)
+        self.membership = MembershipManager(self)
         self.tasks: list[asyncio.Task] = []
         self.handlers = {
             "/v1/agreement": self._on_agreement,
@@ -128,7 +128,7 @@
         }
 
     def new_agreement(self) -> AgreementHost:
-        """Return a member that has not opened its folder yet."""
+        """Return a group member whose data directory is not open yet."""
         settings = self.settings
         self.state = state = ReplicatedState(self.decode_document)
         return AgreementHost(
@@ -152,15 +152,15 @@
         )
 
     async def start(self) -> None:
-        """Open the data folder and take part in the group."""
+        """Open the data directory and join the group."""
         await self.agreement.start()
         self.tasks = [
-            asyncio.ensure_future(self.upkeep.run()),
-            asyncio.ensure_future(self.spread.run()),
+            asyncio.ensure_future(self.membership.run()),
+            asyncio.ensure_future(self.distributor.run()),
         ]
 
     async def stop(self) -> None:
-        """Leave the group's work and close the data folder."""
+        """Stop all tasks and close the data directory."""
         for task in self.tasks:
             task.cancel()
         self.promoter.end()
@@ -168,18 +168,18 @@
         await self.client.close()
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take over addresses from changed settings.
+        """Apply seeds from changed settings.
 
-        A member that is not yet admitted asks the new ones.
+        A member that has not been admitted yet contacts the new seeds.
         """
         if seeds == self.settings.seeds:
             return
         self.settings = msgspec.structs.replace(self.settings, seeds=seeds)
         machine = self.agreement.machine
         if machine is not None and not machine.formed:
-            self.upkeep.reopen_soon()
+            self.membership.request_reopen()
 
-    # The log.
+    # Replicated log.
 
     def _apply(self, index: int, data: bytes):
         result = self.state.apply(index, data)
@@ -190,7 +190,7 @@
                 changed=result.changed,
                 index=index,
             )
-            self.spread.wake()
+            self.distributor.notify_waiters()
         return result
 
     def _leadership_changed(self, leading: bool, term: int) -> None:
@@ -205,23 +205,23 @@
         return self.agreement.is_leader
 
     def contact_age_s(self) -> float:
-        """Return how long ago this host was in contact with a quorum."""
+        """Return the time in seconds since the last contact with a quorum."""
         machine = self.agreement.machine
         if machine is None or self.agreement.failure is not None:
             return float("inf")
         return machine.contact_age_s(now())
 
-    # What operators and endpoints ask for.
+    # Requests of operators and endpoints.
 
     async def store_catalog(
         self, catalog: Catalog, document: bytes
     ) -> StoreResult | Failure:
-        """Store a configuration; the answer of a quorum counts."""
+        """Store a configuration once a quorum has accepted it."""
         order = StoreOrder(zlib.compress(document))
         if self.leading:
             result = await self._store(order)
         else:
-            result = await self._ask_leader("/v1/store", StoreResult, order)
+            result = await self._call_leader("/v1/store", StoreResult, order)
         outcome = result.kind if is_failure(result) else "stored"
         log_event(
             "catalog_order",
@@ -234,15 +234,19 @@
 
     async def _store(self, order: StoreOrder) -> StoreResult | Failure:
         command = encode(StoreCatalog(order.packed))
-        outcome = await self.agreement.submit(command, now() + ORDER_TIMEOUT_S)
+        outcome = await self.agreement.submit(
+            command, now() + COMMAND_TIMEOUT_S
+        )
         return outcome if is_failure(outcome) else outcome.result
 
     async def read_document(self) -> bytes | Failure:
-        """Return the newest configuration as the operator sent it."""
+        """Return the newest configuration document, unchanged."""
         if self.leading:
             answer = await self._read()
         else:
-            answer = await self._ask_leader("/v1/read", DocumentAnswer, Done())
+            answer = await self._call_leader(
+                "/v1/read", DocumentAnswer, Done()
+            )
         if is_failure(answer):
             return answer
         return zlib.decompress(answer.packed) if answer.packed else b""
@@ -251,43 +255,52 @@
         index = await self.agreement.confirm_read(now() + READ_TIMEOUT_S)
         if is_failure(index):
             return index
-        return DocumentAnswer(self.state.packed)
+        return DocumentAnswer(self.state.compressed_document)
 
-    async def _ask_leader(self, path: str, reply_type, body):
+    async def _call_leader(self, path: str, reply_type, body):
         address = self.agreement.leader_address
         if not address or address == self.settings.address:
             return Failure(ErrorKind.NOT_LEADER, "no leader is known")
         return await self.client.call(
-            address, "POST", path, reply_type, body, timeout_s=ORDER_TIMEOUT_S
+            address,
+            "POST",
+            path,
+            reply_type,
+            body,
+            timeout_s=COMMAND_TIMEOUT_S,
         )
 
-    async def note_beat(self, beat: EndpointBeat) -> Failure | None:
-        """Take over the heartbeat of an endpoint.
+    async def note_beat(self, heartbeat: EndpointBeat) -> Failure | None:
+        """Store the heartbeat of an endpoint and distribute it.
 
-        An endpoint that announces its end relies on the answer: every
-        entry host then has to stop sending new work in time. So another
-        coordinator has to know of it too.
+        A draining endpoint relies on the answer: afterwards all entry hosts
+        have to stop sending it new work in time. The answer is therefore
+        positive only if another coordinator has the heartbeat as well.
         """
-        news = self.registry.record_heartbeat(beat, now())
-        if not news:
+        stored = self.registry.record_heartbeat(heartbeat, now())
+        if not stored:
             return None
-        return await self.spread.share(beat, urgent=beat.draining)
+        return await self.distributor.share_heartbeat(
+            heartbeat, urgent=heartbeat.draining
+        )
 
     async def note_farewell(self, endpoint: str, born_ms: int) -> None:
-        """Take over the farewell of an endpoint."""
+        """Mark an endpoint as gone and distribute the change."""
         if self.registry.deregister(endpoint, born_ms, now()):
             entry = self.registry.entries[endpoint]
-            await self.spread.share(entry.heartbeat, urgent=False)
+            await self.distributor.share_heartbeat(
+                entry.heartbeat, urgent=False
+            )
 
-    async def reserve_token(
+    async def reserve_fencing_token(
         self, service: str, endpoint: str
     ) -> int | Failure:
-        """Return a fencing token for one promotion."""
+        """Reserve the fencing token of one promotion."""
         holder = self.settings.name
         command = encode(OrderPromotion(service, endpoint, holder))
-        return await self.agreement.propose(command, now() + ORDER_TIMEOUT_S)
+        return await self.agreement.propose(command, now() + COMMAND_TIMEOUT_S)
 
-    # What the system's own processes ask for.
+    # Requests of other processes of the system.
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer a request of another process of the system."""
@@ -311,27 +324,27 @@
         request = decode(body, WatchRequest)
         if is_failure(request):
             return request
-        return await self.spread.watch(request)
+        return await self.distributor.watch(request)
 
     async def _on_gossip(self, body: bytes):
         gossip = decode(body, Gossip)
         if is_failure(gossip):
             return gossip
-        self.spread.merge(gossip)
+        self.distributor.merge_gossip(gossip)
         return Done()
 
     async def _on_callers(self, body: bytes):
         callers = decode(body, Callers)
         if is_failure(callers):
             return callers
-        self.upkeep.note_callers(callers.members)
+        self.membership.record_join_requests(callers.members)
         return Done()
 
     async def _on_opinions(self, body: bytes):
         report = decode(body, OpinionReport)
         if is_failure(report):
             return report
-        self.promoter.note_opinions(report)
+        self.promoter.record_opinions(report)
         return Done()
 
     async def _on_store(self, body: bytes):
--- a/chivescale/coordinator/_upkeep.py
+++ b/chivescale/coordinator/_membership.py
@@ -1,4 +1,4 @@
-"""Keeps the group of coordinators complete without an operator."""
+"""Manages the members of the coordinator group automatically."""
 
 import asyncio
 
@@ -9,33 +9,33 @@
 from chivescale.messages import Done
 from chivescale.telemetry import log_event
 
-PERIOD_S = 0.25
+CHECK_INTERVAL_S = 0.25
 CHANGE_TIMEOUT_S = 1.0
-# A member whose disk failed opens its folder again after this pause.
-REOPEN_PAUSE_S = 0.5
+# Delay before the data directory of a failed member is opened again.
+REOPEN_DELAY_S = 0.5
 
 
-class Upkeep:
-    """Admits and retires members and reopens a failed folder.
+class MembershipManager:
+    """Admits and retires members; reopens the log after a disk failure.
 
     Parameters
     ----------
     host : CoordinatorHost
-        Owner.
+        Coordinator that owns this object.
     """
 
     def __init__(self, host):
         self.host = host
         self.roster = Roster()
         self.roster_term = 0
-        self.reopen = False
+        self.reopen_requested = False
 
-    def reopen_soon(self) -> None:
-        """Open the folder again, with the present seeds."""
-        self.reopen = True
+    def request_reopen(self) -> None:
+        """Reopen the log with the current seeds at the next check."""
+        self.reopen_requested = True
 
-    def note_callers(self, members: tuple[Member, ...]) -> None:
-        """Take over callers that another coordinator has seen."""
+    def record_join_requests(self, members: tuple[Member, ...]) -> None:
+        """Store join requests that another coordinator received."""
         machine = self.host.agreement.machine
         if machine is None:
             return
@@ -45,24 +45,24 @@
                 machine.seen[member.name] = member
 
     async def run(self) -> None:
-        """Work at intervals."""
+        """Check the group at intervals."""
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             agreement = self.host.agreement
-            if agreement.failure is not None or self.reopen:
-                await self._reopen()
+            if agreement.failure is not None or self.reopen_requested:
+                await self._reopen_log()
             elif agreement.is_leader:
-                await self._plan()
+                await self._change_members()
             elif agreement.machine.seen and agreement.leader_address:
-                await self._forward_callers()
+                await self._forward_join_requests()
 
-    async def _reopen(self) -> None:
-        """Take part again after a storage failure, from the disk's content."""
+    async def _reopen_log(self) -> None:
+        """Restart from the durable state after a failure or new seeds."""
         host = self.host
         failure = host.agreement.failure
-        self.reopen = False
+        self.reopen_requested = False
         await host.agreement.close()
-        await asyncio.sleep(REOPEN_PAUSE_S)
+        await asyncio.sleep(REOPEN_DELAY_S)
         host.agreement = host.new_agreement()
         reopened = await host.agreement.start()
         log_event(
@@ -72,7 +72,7 @@
             outcome=reopened.reason if reopened else "open",
         )
 
-    async def _plan(self) -> None:
+    async def _change_members(self) -> None:
         agreement = self.host.agreement
         machine = agreement.machine
         time = now()
@@ -107,7 +107,7 @@
             outcome=outcome.reason if is_failure(outcome) else "done",
         )
 
-    async def _forward_callers(self) -> None:
+    async def _forward_join_requests(self) -> None:
         agreement = self.host.agreement
         seen = dict(agreement.machine.seen)
         answer = await self.host.client.call(
--- a/chivescale/coordinator/_messages.py
+++ b/chivescale/coordinator/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between coordinators and the commands of their log."""
+"""Messages between coordinators and the commands of the replicated log."""
 
 import msgspec
 
@@ -8,13 +8,13 @@
 
 
 class StoreCatalog(msgspec.Struct, frozen=True, tag=True):
-    """Command: store a configuration.
+    """Command: put a configuration in force.
 
     Attributes
     ----------
     packed : bytes
-        Compressed document as the operator sent it. Route documents repeat
-        their field names, so this is about a tenth of their size.
+        Compressed configuration document of the operator. Compression saves
+        about 90 % because routes repeat their field names.
     """
 
     packed: bytes
@@ -23,8 +23,8 @@
 class OrderPromotion(msgspec.Struct, frozen=True, tag=True):
     """Command: reserve the fencing token of one promotion.
 
-    The token is the log index of the command, so it is higher than every
-    earlier one and belongs to one holder.
+    The token is the log index of the command. It is therefore unique to one
+    holder and higher than all earlier tokens.
     """
 
     service: str
@@ -36,13 +36,13 @@
 
 
 class SnapshotState(msgspec.Struct, frozen=True):
-    """Content of a snapshot of the log; empty before a configuration."""
+    """State in a snapshot; empty before the first configuration."""
 
     packed: bytes
 
 
 class HostSeen(msgspec.Struct, frozen=True, array_like=True):
-    """An entry host, when it was heard and whether it stops."""
+    """An entry host, the age of its last contact, and its shutdown state."""
 
     record: EntryHostRecord
     age_s: float
@@ -55,13 +55,13 @@
     Attributes
     ----------
     beats : tuple of EndpointBeat
-        Statements of endpoints.
+        Heartbeats of endpoints.
     hosts : tuple of HostSeen
-        Entry hosts.
+        Last contacts of entry hosts.
     suspects : tuple of str or None
-        Sent by the leader.
+        Suspected endpoints; only the leader sends them.
     sender, zone : str
-        Address and availability zone of the coordinator.
+        Address and availability zone of the sending coordinator.
     """
 
     sender: str = ""
@@ -72,18 +72,18 @@
 
 
 class Callers(msgspec.Struct, frozen=True):
-    """Incarnations that asked to be admitted to the group."""
+    """Group members that asked to be admitted."""
 
     members: tuple[Member, ...]
 
 
 class StoreOrder(msgspec.Struct, frozen=True):
-    """A configuration forwarded to the leader, compressed."""
+    """Compressed configuration document, forwarded to the leader."""
 
     packed: bytes
 
 
 class DocumentAnswer(msgspec.Struct, frozen=True):
-    """The configuration in force, compressed, confirmed by a quorum."""
+    """Compressed configuration in force, confirmed by a quorum."""
 
     packed: bytes
--- a/chivescale/coordinator/_promoter.py
+++ b/chivescale/coordinator/_promoter.py
@@ -1,4 +1,4 @@
-"""Watches primaries and replaces them, while this host leads."""
+"""Monitors and replaces primaries while this host leads."""
 
 import asyncio
 
@@ -20,24 +20,24 @@
 from chivescale.registry import EndpointEntry
 from chivescale.telemetry import log_event
 
-# Between two probes of a primary.
-PROBE_PERIOD_S = 0.2
-# A probe without an answer for this long counts as failed.
+# Interval between probes of a primary; halved after a failure.
+PROBE_INTERVAL_S = 0.2
+# A probe that is not answered within this time has failed.
 PROBE_TIMEOUT_S = 0.3
 TICK_S = 0.05
-# Replicas report their positions within this time or are passed over.
+# Replicas that do not report their positions within this time are skipped.
 STATE_TIMEOUT_S = 0.3
-# An endpoint that was ordered to lead does so within this time, or the order
-# is repeated.
+# Time for a promoted endpoint to accept transactions before the promotion is
+# ordered again.
 TAKEOVER_TIMEOUT_S = 3.0
 TAKEOVER_POLL_S = 0.05
-RETRY_PAUSE_S = 0.2
-# Endpoints report every 1.2 s; one that leads has been heard after three.
-NO_CLAIM_S = 4.0
+RETRY_DELAY_S = 0.2
+# Endpoints send heartbeats every 1.2 s, so a primary is known after three.
+NO_PRIMARY_TIMEOUT_S = 4.0
 
 
-class Watched(msgspec.Struct):
-    """The primary of one service and the replacement under way."""
+class WatchedPrimary(msgspec.Struct):
+    """The primary of a service, its detector and its replacement task."""
 
     service: str
     endpoint: str
@@ -48,50 +48,50 @@
 
 
 class Promoter:
-    """Replaces primaries that are gone or leaving.
+    """Replaces primaries that failed, terminated or are draining.
 
     Parameters
     ----------
     host : CoordinatorHost
-        Owner.
+        Coordinator that owns this object.
     dialect : EndpointDialect
-        How endpoints are spoken to.
+        Protocol of the endpoints.
     authority : PromotionAuthority
-        Carries out promotions.
+        System that performs promotions.
     """
 
     def __init__(self, host, dialect: EndpointDialect, authority):
         self.host = host
         self.dialect = dialect
         self.authority: PromotionAuthority = authority
-        self.watched: dict[str, Watched] = {}
+        self.watched: dict[str, WatchedPrimary] = {}
         self.links: dict[str, Link] = {}
-        self.unclaimed_since: dict[str, float] = {}
+        self.no_primary_since: dict[str, float] = {}
         self.task: asyncio.Task | None = None
 
     def begin(self) -> None:
-        """Start with an empty view; this host leads now."""
+        """Start without earlier observations when this host becomes leader."""
         self.end()
         log_event("promoter_began", host=self.host.settings.name)
         self.task = asyncio.ensure_future(self._run())
 
     def end(self) -> None:
-        """Stop every probe and replacement."""
+        """Cancel all probes and replacements."""
         if self.task is not None:
             self.task.cancel()
             self.task = None
             log_event("promoter_ended", host=self.host.settings.name)
         for watched in self.watched.values():
-            _cancel(watched)
+            _cancel_tasks(watched)
         self.watched.clear()
         for link in self.links.values():
             link.close()
         self.links.clear()
-        self.unclaimed_since.clear()
-        self.host.spread.share_suspects(())
+        self.no_primary_since.clear()
+        self.host.distributor.share_suspects(())
 
-    def note_opinions(self, report: OpinionReport) -> None:
-        """Take over whether an entry host reaches suspected endpoints."""
+    def record_opinions(self, report: OpinionReport) -> None:
+        """Record whether an entry host reaches the suspected endpoints."""
         for watched in self.watched.values():
             reachable = report.reachable.get(watched.endpoint)
             if reachable is not None:
@@ -106,81 +106,92 @@
             await asyncio.sleep(TICK_S)
 
     def _tick(self) -> None:
-        services = self._services()
+        services = self._service_names()
         for service in set(self.watched) - set(services):
-            _cancel(self.watched.pop(service))
+            _cancel_tasks(self.watched.pop(service))
         suspects = []
         for service in services:
-            watched = self._watch(service)
+            watched = self._watch_primary(service)
             if watched is None:
                 continue
             verdict = watched.detector.evaluate(now())
             if verdict is not Verdict.ALIVE:
                 suspects.append(watched.endpoint)
-            if watched.replacement is None and self._must_go(watched, verdict):
+            if watched.replacement is None and self._needs_replacement(
+                watched, verdict
+            ):
                 watched.replacement = asyncio.ensure_future(
                     self._replace(watched, verdict is Verdict.DEAD)
                 )
-        self.host.spread.share_suspects(tuple(sorted(suspects)))
+        self.host.distributor.share_suspects(tuple(sorted(suspects)))
 
-    def _services(self) -> list[str]:
+    def _service_names(self) -> list[str]:
         catalog = self.host.state.catalog.catalog
         return [s.name for s in catalog.services] if catalog else []
 
-    def _watch(self, service: str) -> Watched | None:
-        """Return the primary of a service; begin to watch a new one."""
+    def _watch_primary(self, service: str) -> WatchedPrimary | None:
+        """Return the watched primary of a service, a new one if it changed."""
         watched = self.watched.get(service)
         if watched is not None and watched.replacement is not None:
             return watched
-        entry = self._primary(service)
+        entry = self._find_primary(service)
         if entry is not None:
-            self.unclaimed_since.pop(service, None)
+            self.no_primary_since.pop(service, None)
         if entry is None:
-            return watched or self._watch_none(service)
-        beat = entry.heartbeat
+            return watched or self._watch_missing_primary(service)
+        heartbeat = entry.heartbeat
         if watched is None or (watched.endpoint, watched.born_ms) != (
-            beat.endpoint,
-            beat.born_ms,
+            heartbeat.endpoint,
+            heartbeat.born_ms,
         ):
             if watched is not None:
-                _cancel(watched)
-            watched = Watched(
-                service, beat.endpoint, beat.born_ms, PrimaryDetector(now())
+                _cancel_tasks(watched)
+            watched = WatchedPrimary(
+                service,
+                heartbeat.endpoint,
+                heartbeat.born_ms,
+                PrimaryDetector(now()),
+            )
+            watched.prober = asyncio.ensure_future(
+                self._probe_primary(watched)
             )
-            watched.prober = asyncio.ensure_future(self._probe(watched))
             self.watched[service] = watched
             log_event(
-                "primary_watched", service=service, endpoint=beat.endpoint
+                "primary_watched", service=service, endpoint=heartbeat.endpoint
             )
         return watched
 
-    def _watch_none(self, service: str) -> Watched | None:
-        """Replace a primary that nobody has seen.
+    def _watch_missing_primary(self, service: str) -> WatchedPrimary | None:
+        """Replace the primary of a service in which no endpoint is primary.
 
-        It may have ended while no coordinator was up to hear of it.
+        It may have terminated while no coordinator was running.
         """
         if not self.host.registry.service_endpoints(service):
             return None
         time = now()
-        since = self.unclaimed_since.setdefault(service, time)
-        if time - since < NO_CLAIM_S:
+        since = self.no_primary_since.setdefault(service, time)
+        if time - since < NO_PRIMARY_TIMEOUT_S:
             return None
-        del self.unclaimed_since[service]
+        del self.no_primary_since[service]
         log_event("no_primary_claims", "warning", service=service)
-        watched = Watched(service, "", 0, PrimaryDetector(time))
+        watched = WatchedPrimary(service, "", 0, PrimaryDetector(time))
         self.watched[service] = watched
         return watched
 
-    def _primary(self, service: str) -> EndpointEntry | None:
-        """Return the endpoint that called itself primary last."""
-        claims = [
+    def _find_primary(self, service: str) -> EndpointEntry | None:
+        """Return the endpoint that became primary most recently."""
+        primaries = [
             entry
             for entry in self.host.registry.service_endpoints(service)
             if entry.primary_since
         ]
-        return max(claims, key=lambda entry: entry.primary_since, default=None)
+        return max(
+            primaries, key=lambda entry: entry.primary_since, default=None
+        )
 
-    def _must_go(self, watched: Watched, verdict: Verdict) -> bool:
+    def _needs_replacement(
+        self, watched: WatchedPrimary, verdict: Verdict
+    ) -> bool:
         entry = self.host.registry.entries.get(watched.endpoint)
         if entry is None or entry.heartbeat.gone:
             return True
@@ -188,14 +199,14 @@
 
     # Probes.
 
-    async def _link(self, endpoint: str) -> Link | Failure:
+    async def _open_link(self, endpoint: str) -> Link | Failure:
         """Return an open link to an endpoint."""
         link = self.links.get(endpoint)
         if link is not None and link.usable:
             return link
         entry = self.host.registry.entries.get(endpoint)
         if entry is None:
-            return Failure(ErrorKind.UNREACHABLE, "endpoint is not known")
+            return Failure(ErrorKind.UNREACHABLE, "endpoint is not registered")
         opened = await open_link(
             self.dialect,
             entry.heartbeat.address,
@@ -208,24 +219,24 @@
         self.links[endpoint] = opened
         return opened
 
-    async def _probe(self, watched: Watched) -> None:
-        """Ask the primary at intervals whether it leads.
+    async def _probe_primary(self, watched: WatchedPrimary) -> None:
+        """Check at intervals whether the endpoint is still primary.
 
-        Beginning a transaction takes no slot, so a busy endpoint answers
-        too.
+        The probe begins a transaction, which takes no slot, so that busy
+        endpoints answer as well.
         """
         if self._sync_replicas(watched.service):
-            await self._resume(watched)
+            await self._resume_replicas(watched)
         while True:
             sent_at = now()
-            outcome = await self._lead_check(watched.endpoint)
+            outcome = await self._check_primary(watched.endpoint)
             if not is_failure(outcome):
                 watched.detector.record_answer(sent_at)
             elif outcome.kind is ErrorKind.CONNECTION_REFUSED:
                 watched.detector.record_failure(True, now())
             else:
                 watched.detector.record_failure(False, now())
-            pause = PROBE_PERIOD_S
+            pause = PROBE_INTERVAL_S
             if is_failure(outcome):
                 log_event(
                     "probe_failed",
@@ -236,9 +247,9 @@
                 pause /= 2
             await asyncio.sleep(pause)
 
-    async def _lead_check(self, endpoint: str) -> bool | Failure:
-        """Begin and roll back a transaction; tell whether it leads."""
-        link = await self._link(endpoint)
+    async def _check_primary(self, endpoint: str) -> bool | Failure:
+        """Begin and roll back a transaction; tell whether it was accepted."""
+        link = await self._open_link(endpoint)
         if is_failure(link):
             return link
         begin = self.dialect.begin_text(read_only=False, after=None)
@@ -251,12 +262,12 @@
 
     # Replacement.
 
-    async def _replace(self, watched: Watched, dead: bool) -> None:
-        """Order promotions until another endpoint leads."""
+    async def _replace(self, watched: WatchedPrimary, dead: bool) -> None:
+        """Order promotions until another endpoint is primary."""
         started = now()
         try:
             while not await self._replace_once(watched, dead):
-                await asyncio.sleep(RETRY_PAUSE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
             log_event(
                 "primary_replaced",
                 service=watched.service,
@@ -277,59 +288,65 @@
             if self.watched.get(watched.service) is watched:
                 del self.watched[watched.service]
 
-    async def _replace_once(self, watched: Watched, dead: bool) -> bool:
+    async def _replace_once(self, watched: WatchedPrimary, dead: bool) -> bool:
         service = watched.service
-        current = self._primary(service)
+        current = self._find_primary(service)
         if current is not None and (
             (current.heartbeat.endpoint, current.heartbeat.born_ms)
             != (watched.endpoint, watched.born_ms)
         ):
             return True
-        target = await self._choose(watched, dead)
-        if is_failure(target):
+        new_primary = await self._choose_successor(watched, dead)
+        if is_failure(new_primary):
             log_event(
                 "no_successor",
                 "warning",
                 service=service,
-                reason=target.reason,
+                reason=new_primary.reason,
             )
             return False
-        token = await self.host.reserve_token(service, target)
+        token = await self.host.reserve_fencing_token(service, new_primary)
         if is_failure(token):
             log_event("no_token", "warning", reason=token.reason)
             return False
         outcome = await self.authority.promote(
-            service, target, self.host.settings.name, token
+            service, new_primary, self.host.settings.name, token
         )
         log_event(
             "promotion_ordered",
             service=service,
             former=watched.endpoint,
-            successor=target,
+            successor=new_primary,
             token=token,
             outcome=outcome.name.lower(),
         )
         if outcome is not OrderOutcome.ACCEPTED:
             return False
         if not dead:
-            await self._demote(watched)
-        return await self._await_lead(target)
-
-    async def _choose(self, watched: Watched, dead: bool) -> str | Failure:
-        """Return the successor.
-
-        Where commits are acknowledged by replicas, a primary that this host
-        has lost may still commit. So the replicas stop receiving before
-        their positions count; at a hand-over all but the successor do.
+            await self._demote_primary(watched)
+        return await self._await_takeover(new_primary)
+
+    async def _choose_successor(
+        self, watched: WatchedPrimary, dead: bool
+    ) -> str | Failure:
+        """Choose the endpoint to promote.
+
+        With synchronous replicas, a primary that this host cannot reach may
+        still commit. Its replicas therefore stop receiving before their
+        positions are compared. In a handover, all replicas but the chosen
+        one stop receiving.
         """
         entries = self._replicas(watched)
         sync_replicas = self._sync_replicas(watched.service)
-        ask = self.dialect.state_text()
+        statement = self.dialect.state_text()
         if sync_replicas and dead:
-            term = await self._newest_term(entries)
-            ask = self.dialect.pause_text(term + 1)
+            term = await self._highest_term(entries)
+            statement = self.dialect.pause_text(term + 1)
         states = await asyncio.gather(
-            *(self._state(entry.heartbeat.endpoint, ask) for entry in entries)
+            *(
+                self._query_state(entry.heartbeat.endpoint, statement)
+                for entry in entries
+            )
         )
         candidates = [
             Candidate(
@@ -339,40 +356,47 @@
             )
             for entry, state in zip(entries, states, strict=True)
         ]
-        target = choose_successor(candidates, sync_replicas)
-        if sync_replicas and not dead and not is_failure(target):
+        new_primary = choose_successor(candidates, sync_replicas)
+        if sync_replicas and not dead and not is_failure(new_primary):
             term = max(s.term for s in states if s is not None)
             pause = self.dialect.pause_text(term + 1)
-            others = [v for v in entries if v.heartbeat.endpoint != target]
+            others = [
+                replica
+                for replica in entries
+                if replica.heartbeat.endpoint != new_primary
+            ]
             await asyncio.gather(
                 *(
-                    self._state(entry.heartbeat.endpoint, pause)
+                    self._query_state(entry.heartbeat.endpoint, pause)
                     for entry in others
                 )
             )
-        return target
+        return new_primary
 
-    def _replicas(self, watched: Watched) -> list[EndpointEntry]:
+    def _replicas(self, watched: WatchedPrimary) -> list[EndpointEntry]:
         return [
             entry
             for entry in self.host.registry.service_endpoints(watched.service)
             if entry.heartbeat.endpoint != watched.endpoint
         ]
 
-    async def _newest_term(self, entries: list[EndpointEntry]) -> int:
-        """Return the newest term that a replica knows."""
+    async def _highest_term(self, entries: list[EndpointEntry]) -> int:
+        """Return the highest term that any replica reports."""
         text = self.dialect.state_text()
         states = await asyncio.gather(
-            *(self._state(entry.heartbeat.endpoint, text) for entry in entries)
+            *(
+                self._query_state(entry.heartbeat.endpoint, text)
+                for entry in entries
+            )
         )
         return max((s.term for s in states if s is not None), default=0)
 
-    async def _resume(self, watched: Watched) -> None:
-        """End pauses that a former leader has left behind."""
+    async def _resume_replicas(self, watched: WatchedPrimary) -> None:
+        """End replication pauses left behind by an earlier leader."""
         text = self.dialect.resume_text()
         await asyncio.gather(
             *(
-                self._state(entry.heartbeat.endpoint, text)
+                self._query_state(entry.heartbeat.endpoint, text)
                 for entry in self._replicas(watched)
             )
         )
@@ -385,9 +409,11 @@
                 return options.sync_replicas
         return 0
 
-    async def _state(self, endpoint: str, text: str) -> EndpointState | None:
-        """Send a statement that is answered with the endpoint's state."""
-        link = await self._link(endpoint)
+    async def _query_state(
+        self, endpoint: str, text: str
+    ) -> EndpointState | None:
+        """Send a statement whose reply is the state of the endpoint."""
+        link = await self._open_link(endpoint)
         if is_failure(link):
             return None
         reply = await link.statement(text, STATE_TIMEOUT_S)
@@ -399,9 +425,11 @@
             return None
         return state
 
-    async def _demote(self, watched: Watched) -> None:
-        """Stop a leaving primary, so that its last commits reach replicas."""
-        state = await self._state(watched.endpoint, self.dialect.state_text())
+    async def _demote_primary(self, watched: WatchedPrimary) -> None:
+        """Stop a draining primary so that its last commits are replicated."""
+        state = await self._query_state(
+            watched.endpoint, self.dialect.state_text()
+        )
         link = self.links.get(watched.endpoint)
         if state is None or link is None:
             return
@@ -422,18 +450,18 @@
             ),
         )
 
-    async def _await_lead(self, endpoint: str) -> bool:
-        """Wait until the successor accepts transactions."""
+    async def _await_takeover(self, endpoint: str) -> bool:
+        """Wait until the new primary accepts transactions."""
         deadline = now() + TAKEOVER_TIMEOUT_S
         while now() < deadline:
-            outcome = await self._lead_check(endpoint)
+            outcome = await self._check_primary(endpoint)
             if outcome is True:
                 return True
             await asyncio.sleep(TAKEOVER_POLL_S)
         return False
 
 
-def _cancel(watched: Watched) -> None:
+def _cancel_tasks(watched: WatchedPrimary) -> None:
     for task in (watched.prober, watched.replacement):
         if task is not None:
             task.cancel()
--- a/chivescale/coordinator/_replicated.py
+++ b/chivescale/coordinator/_replicated.py
@@ -1,4 +1,4 @@
-"""The state that the log replicates."""
+"""State machine of the replicated log."""
 
 import collections.abc
 import zlib
@@ -22,56 +22,60 @@
     Parameters
     ----------
     decode_document : callable
-        Decodes a document that an operator sent; the same on all members.
+        Decodes a configuration document; identical on all members.
 
     Attributes
     ----------
     catalog : CatalogState
         Configuration in force.
-    packed : bytes
-        Its document, compressed.
-    packed_catalog : bytes
-        The decoded configuration, compressed, as entry hosts get it.
+    compressed_document : bytes
+        Compressed document of the configuration in force.
+    compressed_catalog : bytes
+        Compressed decoded configuration, as sent to entry hosts.
     """
 
     def __init__(self, decode_document: DecodeDocument):
         self.decode_document = decode_document
         self.catalog = CatalogState()
-        self.packed = b""
-        self.packed_catalog = b""
+        self.compressed_document = b""
+        self.compressed_catalog = b""
 
     def apply(self, index: int, data: bytes):
-        """Apply one command; return its result."""
+        """Apply one command and return its result."""
         command = decode(data, Command)
         if is_failure(command):
-            # All members read the same bytes; one that cannot must not go
-            # on with another state than the others.
-            raise AssertionError(f"log entry {index}: {command.reason}")
+            # All members read the same bytes. A member that cannot decode
+            # them must stop, or its state would diverge.
+            raise AssertionError(
+                f"cannot decode log entry {index}: {command.reason}"
+            )
         match command:
-            case StoreCatalog(packed):
-                return self._store(packed)
+            case StoreCatalog(compressed):
+                return self._store(compressed)
             case OrderPromotion():
                 return index
 
-    def _store(self, packed: bytes):
-        catalog = self.decode_document(zlib.decompress(packed))
+    def _store(self, compressed: bytes):
+        catalog = self.decode_document(zlib.decompress(compressed))
         if is_failure(catalog):
-            raise AssertionError(f"stored document: {catalog.reason}")
+            raise AssertionError(
+                f"cannot decode the stored configuration: {catalog.reason}"
+            )
         result = self.catalog.store(catalog)
         if result.changed:
-            self.packed = packed
-            self.packed_catalog = zlib.compress(encode(catalog))
+            self.compressed_document = compressed
+            self.compressed_catalog = zlib.compress(encode(catalog))
         return result
 
     def snapshot(self) -> bytes:
-        """Encode the state."""
-        return encode(SnapshotState(self.packed))
+        """Return the encoded state."""
+        return encode(SnapshotState(self.compressed_document))
 
     def restore(self, data: bytes) -> None:
-        """Replace the state."""
+        """Replace the state by that of a snapshot."""
         state = decode(data, SnapshotState)
         if is_failure(state):
-            raise AssertionError(f"snapshot: {state.reason}")
+            raise AssertionError(f"cannot decode the snapshot: {state.reason}")
         self.catalog = CatalogState()
         if state.packed:
             self._store(state.packed)
