--- a/chivescale/dialect/__init__.py
+++ b/chivescale/dialect/__init__.py
@@ -1,4 +1,4 @@
-"""Statements and answers, independent of the protocol that carries them."""
+"""Protocol-independent statements, replies and codec interfaces."""
 
 from chivescale.dialect._types import (
     AnswerEnd,
--- a/chivescale/dialect/_types.py
+++ b/chivescale/dialect/_types.py
@@ -1,8 +1,9 @@
-"""Types at the two ports of the relay.
+"""Messages and codec interfaces on both sides of the relay.
 
-A caller dialect decodes what callers send and encodes what they are
-answered. An endpoint dialect does the same towards endpoints. The relay
-between them only sees the types of this module.
+A caller dialect decodes client messages and encodes the responses. An
+endpoint dialect encodes requests to endpoints and decodes their replies. The
+relay handles only the types defined here and does not depend on a wire
+format.
 """
 
 import enum
@@ -15,7 +16,7 @@
 
 
 class StatementKind(enum.Enum):
-    """What a statement does."""
+    """Type of a statement."""
 
     BEGIN = enum.auto()
     BEGIN_READ_ONLY = enum.auto()
@@ -30,7 +31,7 @@
 
 
 class TransactionState(enum.Enum):
-    """State of a session after an answer."""
+    """Transaction state of a session after a reply."""
 
     IDLE = enum.auto()
     OPEN = enum.auto()
@@ -38,31 +39,31 @@
 
 
 class OpenSession(msgspec.Struct, frozen=True):
-    """First message of a caller."""
+    """Client message that opens a session on a database."""
 
     database: str
 
 
 class Terminate(msgspec.Struct, frozen=True):
-    """Last message of a caller."""
+    """Client message that closes the session."""
 
 
 class Statement(msgspec.Struct, frozen=True):
-    """One statement of a caller.
+    """Statement sent by a client.
 
     Attributes
     ----------
     request_id : str
-        Identifier that the caller chose.
+        Identifier chosen by the client.
     kind : StatementKind
-        What the statement does.
+        Type of the statement.
     text : str
-        Complete text, as it is forwarded.
+        Complete text, forwarded unchanged.
     name : str
-        Name of the session value or of the prepared statement.
+        Name of the session variable or of the prepared statement.
     argument : str
-        Session value, definition of a prepared statement, or the
-        arguments of an execution.
+        Value of the session variable, definition of the prepared statement,
+        or arguments of its execution.
     writes : bool
         For ``PREPARE``: whether the prepared statement writes.
     """
@@ -76,33 +77,33 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row of an answer; `data` is passed on unchanged."""
+    """One result row; `data` is forwarded unchanged."""
 
     data: str
 
 
 class Completed(msgspec.Struct, frozen=True):
-    """Success; `signature` is passed on unchanged."""
+    """Success; `signature` is forwarded unchanged."""
 
     signature: str
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """Error answer of an endpoint."""
+    """Error returned by an endpoint."""
 
     kind: ErrorKind
     detail: str
 
 
 class AnswerEnd(msgspec.Struct, frozen=True):
-    """End of an answer.
+    """End of a reply; the endpoint is ready for the next statement.
 
     Attributes
     ----------
     state : TransactionState
-        State of the endpoint connection.
+        Transaction state of the endpoint connection.
     position : Position or None
-        Last log entry that the endpoint has applied.
+        Last log entry applied by the endpoint.
     """
 
     state: TransactionState
@@ -110,16 +111,17 @@
 
 
 class Reply(msgspec.Struct):
-    """Complete answer of an endpoint to one statement.
+    """Complete reply of an endpoint to one statement.
 
     Attributes
     ----------
     rows : list of str
-        Data of the rows.
+        Row data.
     signature : str
-        Mark of the endpoint on a successful answer.
+        Opaque completion tag that the endpoint attaches to a successful
+        reply.
     refusal : Refused or None
-        Error, if the statement was not successful.
+        Error of a statement that did not succeed.
     state, position
         As in `AnswerEnd`.
     """
@@ -132,16 +134,16 @@
 
 
 class EndpointState(msgspec.Struct, frozen=True):
-    """What an endpoint says of itself when asked.
+    """Replication state reported by an endpoint.
 
     Attributes
     ----------
     primary : bool
-        Whether it leads its service.
+        Whether the endpoint is the primary of its service.
     term : int
-        Term that it follows or leads.
+        Term in which it is primary or replica.
     received : Position
-        Last log entry that it has received, applied or not.
+        Last log entry received, whether applied or not.
     """
 
     primary: bool
@@ -150,62 +152,62 @@
 
 
 class CallerDialect(typing.Protocol):
-    """How callers speak."""
+    """Codec for the protocol between clients and the relay."""
 
     max_message_bytes: int
 
     def decode(
         self, line: bytes
     ) -> OpenSession | Statement | Terminate | Failure:
-        """Decode one message; a failure says what is wrong with it."""
+        """Decode one message; a failure gives the reason."""
 
     def encode_ready(self, state: TransactionState) -> bytes:
-        """Encode the end of an answer, which also greets a session."""
+        """Encode the end of a response, which also confirms a new session."""
 
     def encode_reply(self, reply: Reply, state: TransactionState) -> bytes:
-        """Encode the successful answer of an endpoint."""
+        """Encode a successful reply of an endpoint."""
 
     def encode_done(self, state: TransactionState) -> bytes:
-        """Encode the success of a statement that no endpoint has run."""
+        """Encode the success of a statement that the relay handled itself."""
 
     def encode_failure(
         self, failure: Failure, state: TransactionState | None
     ) -> bytes:
-        """Encode an error; without a state the connection is closed."""
+        """Encode an error; without a state, the connection is then closed."""
 
 
 class EndpointDialect(typing.Protocol):
-    """How endpoints are spoken to.
+    """Codec for the protocol between the relay and endpoints.
 
-    Functions that end in ``text`` return the text of a statement; `query`
-    wraps a text into a message.
+    Methods whose name ends in ``_text`` return the text of a statement;
+    `query` encodes a text as a message.
     """
 
     max_message_bytes: int
 
     def open(self, service: str, endpoint_id: str) -> bytes:
-        """Encode the first message, which names the expected endpoint."""
+        """Encode the opening message, which names the expected endpoint."""
 
     def query(self, request_id: str, text: str) -> bytes:
-        """Encode a statement; an empty id marks one of the system."""
+        """Encode a statement; internal statements have an empty id."""
 
     def close(self) -> bytes:
-        """Encode the last message."""
+        """Encode the closing message."""
 
     def begin_text(self, read_only: bool, after: Position | None) -> str:
-        """Begin a transaction on a log that holds `after`."""
+        """Begin a transaction if the log contains `after`."""
 
     def after_text(self, after: Position, text: str) -> str:
-        """Run a read only on a log that holds `after`."""
+        """Run a read only if the log contains `after`."""
 
     def rollback_text(self) -> str:
-        """Roll back."""
+        """Roll back the open transaction."""
 
     def reset_text(self) -> str:
-        """Clear session values and prepared statements."""
+        """Clear session variables and prepared statements."""
 
     def set_text(self, name: str, value: str) -> str:
-        """Set a session value."""
+        """Set a session variable."""
 
     def prepare_text(self, name: str, writes: bool, definition: str) -> str:
         """Prepare a statement."""
@@ -214,21 +216,21 @@
         """Execute a prepared statement."""
 
     def state_text(self) -> str:
-        """Ask for the state of the endpoint."""
+        """Query the replication state of the endpoint."""
 
     def pause_text(self, term: int) -> str:
         """Stop a replica from receiving entries of terms below `term`."""
 
     def resume_text(self) -> str:
-        """End a pause."""
+        """Resume receiving log entries."""
 
     def demote_text(self, term: int) -> str:
-        """Turn a primary of a term below `term` into a replica."""
+        """Demote a primary of a term below `term` to a replica."""
 
     def decode(
         self, line: bytes
     ) -> Row | Completed | Refused | AnswerEnd | Failure:
-        """Decode one line of an answer."""
+        """Decode one line of a reply."""
 
     def decode_state(self, reply: Reply) -> EndpointState | Failure:
-        """Decode the answer to `state_text`."""
+        """Decode the reply to `state_text`."""
