--- a/chivescale/lines/__init__.py
+++ b/chivescale/lines/__init__.py
@@ -1,4 +1,4 @@
-"""Framing of protocols whose messages are lines."""
+"""Framing for line-based protocols."""
 
 from chivescale.lines._channel import LineChannel, keep_alive
 
--- a/chivescale/lines/_channel.py
+++ b/chivescale/lines/_channel.py
@@ -1,13 +1,13 @@
-"""A connection whose messages are lines ended by CR LF."""
+"""Connection whose messages are lines terminated by CR LF."""
 
 import asyncio
 import collections.abc
 import socket
 
-# A peer that does not acknowledge data for this long has no power or is
-# behind a partition; callers' statement time-outs are of this order.
-USER_TIMEOUT_MS = 1500
-# Idle connections of dead peers end after about 8 s.
+# Data unacknowledged for this long means that the peer has lost power or is
+# partitioned. The value is of the order of clients' statement timeouts.
+TCP_USER_TIMEOUT_MS = 1500
+# Together these close an idle connection to a dead peer after about 8 s.
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 3
@@ -15,16 +15,16 @@
 
 
 def keep_alive(transport: asyncio.BaseTransport) -> None:
-    """Let a connection fail whose peer has become unreachable.
+    """Make a connection fail when its peer becomes unreachable.
 
-    Unacknowledged data ends it after `USER_TIMEOUT_MS`; an idle one is
-    probed.
+    The connection is closed when sent data stays unacknowledged for
+    `TCP_USER_TIMEOUT_MS`; an idle connection is probed.
     """
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
     tcp = socket.IPPROTO_TCP
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
@@ -32,38 +32,39 @@
 
 
 class LineChannel(asyncio.Protocol):
-    """Splits a byte stream into lines and hands them to its owner.
+    """Splits a byte stream into lines and passes them to a callback.
 
     Parameters
     ----------
     on_line : callable
-        Called with each line, without its terminator.
+        Called with each line, without the line terminator.
     on_lost : callable
-        Called once with a reason when the connection has ended.
+        Called once, with a reason, when the connection ends for a cause
+        other than `close` or `abort`.
     max_line_bytes : int
-        A longer line ends the connection.
+        A longer line closes the connection.
     """
 
     def __init__(
         self,
         on_line: collections.abc.Callable[[bytes], None],
-        on_lost: collections.abc.Callable[[str], None],
+        on_disconnect: collections.abc.Callable[[str], None],
         max_line_bytes: int,
     ):
         self.on_line = on_line
-        self.on_lost = on_lost
+        self.on_disconnect = on_disconnect
         self.max_line_bytes = max_line_bytes
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the time-out of a peer that has become unreachable."""
+        """Store the transport and enable dead-peer detection."""
         self.transport = transport
         keep_alive(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Hand over the complete lines."""
+        """Pass complete lines to `on_line` and buffer the rest."""
         lines = (self.buffer + data).split(LINE_END)
         self.buffer = lines.pop()
         for line in lines:
@@ -78,34 +79,34 @@
 
     def _overflow(self) -> None:
         reason = f"line longer than {self.max_line_bytes} bytes"
-        self._end(reason)
+        self._notify_disconnect(reason)
         self.transport.abort()
 
     def eof_received(self) -> None:
-        """Close in answer to the peer's close."""
+        """Close the transport when the peer closes its side."""
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the owner, once."""
-        self._end(str(error) if error else "closed by peer")
+        """Call `on_disconnect` unless the channel is already closed."""
+        self._notify_disconnect(str(error) if error else "closed by peer")
 
-    def _end(self, reason: str) -> None:
+    def _notify_disconnect(self, reason: str) -> None:
         if not self.closed:
             self.closed = True
-            self.on_lost(reason)
+            self.on_disconnect(reason)
 
     def send(self, data: bytes) -> None:
-        """Queue bytes for sending."""
+        """Queue bytes for sending; ignored on a closed channel."""
         if not self.closed:
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close after the queued bytes; the owner is not called."""
+        """Close once queued bytes are sent, without `on_disconnect`."""
         self.closed = True
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close at once; the owner is not called."""
+        """Close immediately, without calling `on_disconnect`."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
