--- a/chivescale/link/__init__.py
+++ b/chivescale/link/__init__.py
@@ -1,4 +1,4 @@
-"""Sessions of this system with endpoints."""
+"""Connections to endpoints."""
 
 from chivescale.link._link import Link, can_connect, open_link
 
--- a/chivescale/link/_link.py
+++ b/chivescale/link/_link.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint."""
+"""Connection to an endpoint."""
 
 import asyncio
 import collections
@@ -20,40 +20,40 @@
 from chivescale.messages import Position
 
 
-class _Exchange(msgspec.Struct):
-    """Statements under way and the answers so far."""
+class _PendingBatch(msgspec.Struct):
+    """Pipelined statements and the replies received so far."""
 
-    expected: int
+    reply_count: int
     future: asyncio.Future
     replies: list[Reply] = msgspec.field(default_factory=list)
 
 
 class Link:
-    """A session with an endpoint; statements run one after the other.
+    """Connection to an endpoint that runs statements sequentially.
 
     Attributes
     ----------
     values : dict of str to str
-        Session values that the endpoint has acknowledged.
+        Session variables that the endpoint has acknowledged.
     prepared : dict
-        Name of each statement that the endpoint has prepared.
+        Maps each prepared statement to its name on this connection.
     state : TransactionState
-        After the last answer.
+        Transaction state after the last reply.
     usable : bool
         False once the connection is lost or its state is unknown.
     last_session : object
-        Caller that used the link last.
+        Client session that last used the connection.
     used_at : float
-        When the link was last returned to its pool.
+        When the connection was last returned to its pool.
     """
 
     def __init__(self, dialect: EndpointDialect):
         self.dialect = dialect
         self.channel = LineChannel(
-            self._on_line, self._on_lost, dialect.max_message_bytes
+            self._on_line, self._on_disconnect, dialect.max_message_bytes
         )
-        self.exchanges: collections.deque[_Exchange] = collections.deque()
-        self.current = Reply([])
+        self.pending: collections.deque[_PendingBatch] = collections.deque()
+        self.partial_reply = Reply([])
         self.values: dict[str, str] = {}
         self.prepared: dict[object, str] = {}
         self.state = TransactionState.IDLE
@@ -62,29 +62,30 @@
         self.used_at = 0.0
 
     async def exchange(
-        self, data: bytes, expected: int, timeout_s: float
+        self, data: bytes, reply_count: int, timeout_s: float
     ) -> list[Reply] | Failure:
-        """Send statements and wait for all their answers.
+        """Send pipelined statements and wait for all replies.
 
         Parameters
         ----------
         data : bytes
             Encoded statements.
-        expected : int
-            Number of answers.
+        reply_count : int
+            Number of replies to wait for.
         timeout_s : float
-            Limit for all of them; the link is closed when it is reached.
+            Time limit for all replies; the connection is closed when it is
+            exceeded.
 
         Returns
         -------
         list of Reply or Failure
-            ``UNREACHABLE`` if nothing has left, ``READ_INTERRUPTED`` if
-            the connection ended, ``TIMEOUT`` if an answer did not come.
+            ``UNREACHABLE`` if nothing was sent, ``READ_INTERRUPTED`` if the
+            connection was lost, ``TIMEOUT`` if a reply is missing.
         """
         if not self.usable:
             return Failure(ErrorKind.UNREACHABLE, "connection is closed")
         future = asyncio.get_running_loop().create_future()
-        self.exchanges.append(_Exchange(expected, future))
+        self.pending.append(_PendingBatch(reply_count, future))
         self.channel.send(data)
         try:
             async with asyncio.timeout(timeout_s):
@@ -103,65 +104,65 @@
         return replies if is_failure(replies) else replies[0]
 
     def _on_line(self, line: bytes) -> None:
-        part = self.dialect.decode(line)
-        match part:
+        message = self.dialect.decode(line)
+        match message:
             case Row(data):
-                self.current.rows.append(data)
+                self.partial_reply.rows.append(data)
             case Completed(signature):
-                self.current.signature = signature
+                self.partial_reply.signature = signature
             case Refused():
-                self.current.refusal = part
+                self.partial_reply.refusal = message
             case AnswerEnd(state, position):
-                self._end_answer(state, position)
+                self._complete_reply(state, position)
             case Failure():
-                self._break(f"answer cannot be read: {part.reason}")
+                self._fail(f"cannot decode reply: {message.reason}")
 
-    def _end_answer(
+    def _complete_reply(
         self, state: TransactionState, position: Position | None
     ) -> None:
-        reply, self.current = self.current, Reply([])
+        reply, self.partial_reply = self.partial_reply, Reply([])
         self.state = reply.state = state
         reply.position = position
-        if not self.exchanges:
-            self._break("answer to no statement")
+        if not self.pending:
+            self._fail("reply without a pending statement")
             return
-        exchange = self.exchanges[0]
-        exchange.replies.append(reply)
-        if len(exchange.replies) == exchange.expected:
-            self.exchanges.popleft()
-            if not exchange.future.done():
-                exchange.future.set_result(exchange.replies)
-
-    def _break(self, reason: str) -> None:
+        batch = self.pending[0]
+        batch.replies.append(reply)
+        if len(batch.replies) == batch.reply_count:
+            self.pending.popleft()
+            if not batch.future.done():
+                batch.future.set_result(batch.replies)
+
+    def _fail(self, reason: str) -> None:
         self.channel.abort()
-        self._on_lost(reason)
+        self._on_disconnect(reason)
 
-    def _on_lost(self, reason: str) -> None:
+    def _on_disconnect(self, reason: str) -> None:
         self.usable = False
-        # An error before a close, as in a refused first message, says more
-        # than the close itself.
-        refusal = self.current.refusal
+        # An endpoint that rejects the first message sends an error and then
+        # closes; the error is more specific than the close.
+        refusal = self.partial_reply.refusal
         if refusal is not None:
             failure = Failure(refusal.kind, refusal.detail)
         else:
             failure = Failure(ErrorKind.READ_INTERRUPTED, reason)
-        for exchange in self.exchanges:
-            if not exchange.future.done():
-                exchange.future.set_result(failure)
-        self.exchanges.clear()
+        for batch in self.pending:
+            if not batch.future.done():
+                batch.future.set_result(failure)
+        self.pending.clear()
 
     def close(self) -> None:
-        """End the session in good order."""
+        """Close the connection gracefully."""
         if self.usable:
             self.usable = False
             self.channel.send(self.dialect.close())
         self.channel.close()
 
     def abort(self) -> None:
-        """End the session at once; the endpoint rolls back."""
+        """Close immediately; the endpoint rolls back any transaction."""
         self.usable = False
         self.channel.abort()
-        self._on_lost("closed")
+        self._on_disconnect("closed")
 
 
 async def open_link(
@@ -171,13 +172,13 @@
     endpoint: str,
     timeout_s: float,
 ) -> Link | Failure:
-    """Connect to an endpoint and check that it is the expected one.
+    """Connect to an endpoint and verify its identity.
 
     Returns
     -------
     Link or Failure
-        ``CONNECTION_REFUSED``, ``UNREACHABLE``, or the refusal of the
-        endpoint. No statement has left.
+        ``CONNECTION_REFUSED``, ``UNREACHABLE``, or the error that the
+        endpoint returned. On failure no statement was sent.
     """
     link = Link(dialect)
     host, _, port = address.rpartition(":")
@@ -190,8 +191,10 @@
         return Failure(ErrorKind.CONNECTION_REFUSED, f"{address}: {err}")
     except (OSError, TimeoutError) as err:
         return Failure(ErrorKind.UNREACHABLE, f"{address}: {err!r}")
-    left = max(0.001, timeout_s - (clock.now() - started))
-    replies = await link.exchange(dialect.open(service, endpoint), 1, left)
+    remaining_s = max(0.001, timeout_s - (clock.now() - started))
+    replies = await link.exchange(
+        dialect.open(service, endpoint), 1, remaining_s
+    )
     if is_failure(replies):
         link.abort()
         kind = replies.kind
@@ -206,9 +209,10 @@
 
 
 async def can_connect(address: str, timeout_s: float) -> bool:
-    """Tell whether a machine answers an attempt to connect.
+    """Return whether a host responds to a connection attempt.
 
-    A refused connection is an answer: the machine runs and is reachable.
+    A refused connection counts as a response: the host is running and
+    reachable.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
