--- a/chivescale/gateway/__init__.py
+++ b/chivescale/gateway/__init__.py
@@ -1,32 +1,33 @@
-"""Entry hosts that run statements for other entry hosts.
+"""Forwarding of statements between entry hosts.
 
 Where an endpoint accepts fewer connections than there are entry hosts, a few
-hosts hold the connections and the others forward statements to them.
+hosts, the gateways, hold the connections and the other hosts forward
+statements to them.
 """
 
+from chivescale.gateway._client import MAX_FRAME_BYTES, GatewayClient
 from chivescale.gateway._messages import (
-    Answer,
-    Bye,
+    GatewayRequest,
+    GoAway,
     Hello,
     Ping,
     Pong,
-    Rollback,
-    Run,
-    ToGateway,
+    RollbackRequest,
+    RunRequest,
+    RunResponse,
 )
-from chivescale.gateway._peer import MAX_FRAME_BYTES, Peer
-from chivescale.gateway._plan import gateways_of
+from chivescale.gateway._plan import select_gateways
 
 __all__ = [
     "MAX_FRAME_BYTES",
-    "Answer",
-    "Bye",
+    "GatewayClient",
+    "GatewayRequest",
+    "GoAway",
     "Hello",
-    "Peer",
     "Ping",
     "Pong",
-    "Rollback",
-    "Run",
-    "ToGateway",
-    "gateways_of",
+    "RollbackRequest",
+    "RunRequest",
+    "RunResponse",
+    "select_gateways",
 ]
--- a/chivescale/gateway/_client.py
+++ b/chivescale/gateway/_client.py
@@ -1,4 +1,4 @@
-"""A gateway as another entry host sees it."""
+"""Client for a gateway on another entry host."""
 
 import asyncio
 import random
@@ -8,152 +8,158 @@
 from chivescale.clock import now
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.gateway._messages import (
-    Answer,
-    Bye,
-    FromGateway,
+    GatewayResponse,
+    GoAway,
     Hello,
     Ping,
     Pong,
-    Rollback,
-    Run,
+    RollbackRequest,
+    RunRequest,
+    RunResponse,
 )
 from chivescale.lines import LineChannel
 from chivescale.messages import decode, encode
 from chivescale.telemetry import log_event
 
-# A statement with its values; callers' messages have 1 MiB.
+# Holds a statement with its session variables; a client message is limited
+# to 1 MiB.
 MAX_FRAME_BYTES = 4 << 20
-# Gateways are in the same region; a host that runs accepts at once.
+# Gateways are in the same region, and a running host accepts immediately.
 CONNECT_TIMEOUT_S = 0.25
-# A gateway that could not be reached gets no statements until a connection to
-# it was opened; a lost connection is opened again almost at once, later
-# attempts become rarer.
-FIRST_TRIAL_PAUSE_S = 0.05
-TRIAL_PAUSE_FACTOR = 4.0
-LONGEST_TRIAL_PAUSE_S = 2.0
-# An answer that takes longer is followed by a question whether the
-# connection still works, which the gateway answers at once.
-SILENT_S = 0.25
+# An unreachable gateway receives no statements until a connection is open
+# again. The first reconnect follows a lost connection almost immediately;
+# later ones back off exponentially.
+INITIAL_RECONNECT_DELAY_S = 0.05
+RECONNECT_BACKOFF_FACTOR = 4.0
+MAX_RECONNECT_DELAY_S = 2.0
+# If a response takes longer than this, a ping checks the connection. The
+# gateway responds to pings immediately, whatever its load.
+PING_AFTER_S = 0.25
 PING_TIMEOUT_S = 0.3
-# What a gateway said of its load counts for this long.
-LOAD_KEPT_S = 0.5
+# Load reported by a gateway is ignored after this time.
+LOAD_REPORT_TTL_S = 0.5
 
 
-class Call(msgspec.Struct, eq=False):
-    """A statement under way.
+class PendingCall(msgspec.Struct, eq=False):
+    """Statement that awaits its response.
 
     Attributes
     ----------
     future : asyncio.Future
-        Becomes an `Answer` or a `Failure`.
+        Resolves to a `RunResponse` or a `Failure`.
     started : float
-        When it was sent.
+        Time at which the statement was sent.
     """
 
     future: asyncio.Future
     started: float
 
 
-class Peer:
-    """Calls to one gateway over one connection.
+class GatewayClient:
+    """Sends statements to one gateway over a single connection.
 
     Parameters
     ----------
-    own_name : str
+    local_name : str
         Name of this host.
     name, zone, address : str
-        Of the gateway.
+        Name, availability zone and address of the gateway.
 
     Attributes
     ----------
     leaving : bool
-        Whether the gateway has said that it stops.
+        Whether the gateway is shutting down or was removed.
     failed : bool
-        Whether it could not be reached; a trial is under way then.
+        Whether the gateway is unreachable; a background task then tries to
+        reconnect.
     """
 
-    def __init__(self, own_name: str, name: str, zone: str, address: str):
-        self.own_name = own_name
+    def __init__(self, local_name: str, name: str, zone: str, address: str):
+        self.local_name = local_name
         self.name = name
         self.zone = zone
         self.address = address
         self.channel: LineChannel | None = None
-        self.opening: asyncio.Task | None = None
-        self.calls: dict[int, Call] = {}
-        self.numbers = 0
+        self.connect_task: asyncio.Task | None = None
+        self.pending_calls: dict[int, PendingCall] = {}
+        self.last_number = 0
         self.leaving = False
         self.failed = False
-        self.trial: asyncio.Task | None = None
-        self.heard_at = 0.0
-        self.pinged_at: float | None = None
-        self.waiting = 0
-        self.waiting_at = 0.0
+        self.reconnect_task: asyncio.Task | None = None
+        self.last_message_at = 0.0
+        self.ping_sent_at: float | None = None
+        self.reported_load = 0
+        self.reported_load_at = 0.0
 
     @property
     def usable(self) -> bool:
-        """Whether new statements may be sent."""
+        """Whether the gateway may receive new statements."""
         return not self.leaving and not self.failed
 
     def load(self, time: float) -> int:
-        """Return how much seems to wait at the gateway."""
-        recent = time - self.waiting_at < LOAD_KEPT_S
-        return len(self.calls) + (self.waiting if recent else 0)
+        """Return the estimated number of statements at the gateway."""
+        recent = time - self.reported_load_at < LOAD_REPORT_TTL_S
+        return len(self.pending_calls) + (self.reported_load if recent else 0)
 
     def next_number(self) -> int:
-        """Return a number for a call or a transaction."""
-        self.numbers += 1
-        return self.numbers
+        """Return a new identifier for a call or a transaction."""
+        self.last_number += 1
+        return self.last_number
 
-    async def run(self, message: Run, timeout_s: float) -> Answer | Failure:
-        """Send a statement and wait for its outcome.
+    async def run(
+        self, message: RunRequest, timeout_s: float
+    ) -> RunResponse | Failure:
+        """Send a statement and wait for its result.
 
         Returns
         -------
-        Answer or Failure
-            ``UNREACHABLE`` if the statement has not left,
-            ``READ_INTERRUPTED`` or ``TIMEOUT`` if its answer did not come.
+        RunResponse or Failure
+            ``UNREACHABLE`` if the statement was not sent,
+            ``READ_INTERRUPTED`` or ``TIMEOUT`` if the response is missing.
         """
         failure = await self.connect()
         if failure is not None:
             return failure
         if self.channel is None:
-            reason = f"gateway {self.name}: connection lost at once"
+            reason = f"gateway {self.name}: connection lost before sending"
             return Failure(ErrorKind.UNREACHABLE, reason)
         time = now()
         future = asyncio.get_running_loop().create_future()
-        self.calls[message.number] = Call(future, time)
+        self.pending_calls[message.number] = PendingCall(future, time)
         self.channel.send(encode(message) + b"\r\n")
         try:
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
-            reason = f"no answer of gateway {self.name} in {timeout_s:.3f} s"
+            reason = f"no response of gateway {self.name} in {timeout_s:.3f} s"
             return Failure(ErrorKind.TIMEOUT, reason)
         finally:
-            self.calls.pop(message.number, None)
+            self.pending_calls.pop(message.number, None)
 
     def roll_back(self, transaction: int) -> None:
-        """End a transaction without waiting."""
+        """Request a rollback without waiting for it."""
         if self.channel is not None:
-            self.channel.send(encode(Rollback(transaction)) + b"\r\n")
+            self.channel.send(encode(RollbackRequest(transaction)) + b"\r\n")
 
     async def connect(self) -> Failure | None:
-        """Open the connection unless it is open."""
+        """Open the connection unless it is already open."""
         if self.channel is not None:
             return None
-        if self.opening is None:
-            self.opening = asyncio.ensure_future(self._open())
+        if self.connect_task is None:
+            self.connect_task = asyncio.ensure_future(self._open())
         try:
-            failure = await asyncio.shield(self.opening)
+            failure = await asyncio.shield(self.connect_task)
         finally:
-            if self.opening is not None and self.opening.done():
-                self.opening = None
+            if self.connect_task is not None and self.connect_task.done():
+                self.connect_task = None
         if failure is not None:
-            self._note_failure(failure.reason)
+            self._mark_failed(failure.reason)
         return failure
 
     async def _open(self) -> Failure | None:
-        channel = LineChannel(self._on_line, self._on_lost, MAX_FRAME_BYTES)
+        channel = LineChannel(
+            self._on_line, self._on_disconnect, MAX_FRAME_BYTES
+        )
         host, _, port = self.address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
@@ -163,86 +169,93 @@
             reason = f"gateway {self.name}: cannot connect: {err!r}"
             return Failure(ErrorKind.UNREACHABLE, reason)
         self.channel = channel
-        self.pinged_at = None
-        self.heard_at = now()
-        channel.send(encode(Hello(self.own_name)) + b"\r\n")
+        self.ping_sent_at = None
+        self.last_message_at = now()
+        channel.send(encode(Hello(self.local_name)) + b"\r\n")
         return None
 
-    def _note_failure(self, reason: str) -> None:
+    def _mark_failed(self, reason: str) -> None:
         if self.failed:
             return
         self.failed = True
         log_event("gateway_lost", "warning", gateway=self.name, reason=reason)
-        self.trial = asyncio.ensure_future(self._try_again())
+        self.reconnect_task = asyncio.ensure_future(self._reconnect())
 
-    async def _try_again(self) -> None:
-        """Open a connection in the background; no statement waits for it."""
-        pause_s = FIRST_TRIAL_PAUSE_S
+    async def _reconnect(self) -> None:
+        """Reconnect in the background; statements do not wait for it."""
+        delay_s = INITIAL_RECONNECT_DELAY_S
         while self.failed:
-            await asyncio.sleep(pause_s * random.uniform(0.5, 1.5))
+            await asyncio.sleep(delay_s * random.uniform(0.5, 1.5))
             if self.channel is not None or await self._open() is None:
                 self.failed = False
                 log_event("gateway_regained", gateway=self.name)
-            pause_s = min(LONGEST_TRIAL_PAUSE_S, pause_s * TRIAL_PAUSE_FACTOR)
+            delay_s = min(
+                MAX_RECONNECT_DELAY_S, delay_s * RECONNECT_BACKOFF_FACTOR
+            )
 
     def _on_line(self, line: bytes) -> None:
-        message = decode(line, FromGateway)
-        self.heard_at = now()
-        self.pinged_at = None
+        message = decode(line, GatewayResponse)
+        self.last_message_at = now()
+        self.ping_sent_at = None
         match message:
-            case Answer():
-                self.waiting, self.waiting_at = message.waiting, self.heard_at
-                call = self.calls.get(message.number)
+            case RunResponse():
+                self.reported_load, self.reported_load_at = (
+                    message.waiting,
+                    self.last_message_at,
+                )
+                call = self.pending_calls.get(message.number)
                 if call is not None and not call.future.done():
                     call.future.set_result(message)
-            case Bye():
+            case GoAway():
                 self.leaving = True
                 log_event("gateway_leaving", gateway=self.name)
             case Pong():
                 pass
             case Failure():
-                self._give_up(f"unreadable message: {message.reason}")
+                self._disconnect(f"cannot decode message: {message.reason}")
 
-    def _on_lost(self, reason: str) -> None:
+    def _on_disconnect(self, reason: str) -> None:
         if self.channel is None:
             return
         self.channel = None
-        # The host may start again under its name.
+        # The gateway may restart under the same name.
         self.leaving = False
-        self._note_failure(reason)
+        self._mark_failed(reason)
         failure = Failure(
             ErrorKind.READ_INTERRUPTED, f"gateway {self.name}: {reason}"
         )
-        for call in self.calls.values():
+        for call in self.pending_calls.values():
             if not call.future.done():
                 call.future.set_result(failure)
 
-    def _give_up(self, reason: str) -> None:
+    def _disconnect(self, reason: str) -> None:
         if self.channel is not None:
             self.channel.abort()
-            self._on_lost(reason)
+            self._on_disconnect(reason)
 
-    def check_silence(self, time: float) -> None:
-        """Ask whether the connection works if an answer is late."""
-        if self.channel is None or not self.calls:
+    def check_timeouts(self, time: float) -> None:
+        """Ping the gateway if a response is late; disconnect if it is dead."""
+        if self.channel is None or not self.pending_calls:
             return
-        if self.pinged_at is not None:
-            if time - self.pinged_at > PING_TIMEOUT_S:
-                self._give_up(f"silent for {time - self.heard_at:.3f} s")
+        if self.ping_sent_at is not None:
+            if time - self.ping_sent_at > PING_TIMEOUT_S:
+                self._disconnect(
+                    f"no message for {time - self.last_message_at:.3f} s"
+                )
             return
-        oldest = next(iter(self.calls.values()))
-        if time - max(self.heard_at, oldest.started) > SILENT_S:
-            self.pinged_at = time
+        oldest = next(iter(self.pending_calls.values()))
+        if time - max(self.last_message_at, oldest.started) > PING_AFTER_S:
+            self.ping_sent_at = time
             self.channel.send(encode(Ping()) + b"\r\n")
 
-    async def reachable(self) -> bool:
-        """Tell whether the gateway accepts a connection or has one open."""
+    async def ensure_connected(self) -> bool:
+        """Return whether a connection is open or could be opened."""
         return not is_failure(await self.connect())
 
     def close(self) -> None:
-        """Close the connection and stop trying."""
-        if self.trial is not None:
-            self.trial.cancel()
+        """Close the connection and stop reconnecting."""
+        if self.reconnect_task is not None:
+            self.reconnect_task.cancel()
         if self.channel is not None:
             self.channel.close()
             self.channel = None
--- a/chivescale/gateway/_messages.py
+++ b/chivescale/gateway/_messages.py
@@ -1,4 +1,8 @@
-"""Messages between an entry host and a gateway, one JSON object a line."""
+"""Messages between an entry host and a gateway, one JSON object per line.
+
+The tags and encoded field names are the wire format. Hosts of different
+versions exchange these messages during an upgrade.
+"""
 
 import msgspec
 
@@ -8,13 +12,13 @@
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """First message of the host that connects."""
+    """First message on a connection; identifies the connecting host."""
 
     host: str
 
 
-class Run(msgspec.Struct, frozen=True, tag="run", omit_defaults=True):
-    """Run a statement.
+class RunRequest(msgspec.Struct, frozen=True, tag="run", omit_defaults=True):
+    """Request to run a statement.
 
     Attributes
     ----------
@@ -23,29 +27,31 @@
     request_id, kind, text, name, argument
         As in `chivescale.dialect.Statement`.
     writes : bool
-        Whether it may write.
+        Whether the statement may write.
     service, consistency, statement_timeout_ms, latency_goal_ms, priority, \
 accepted_staleness_ms
-        Of the route in force for the statement, as in
+        Attributes of the route of the statement, as in
         `chivescale.catalog.Route`.
     age_s : float
-        How long before this message the statement had arrived. The time on
-        the way is not known, so limits counted from the arrival become
-        stricter, never looser.
+        Time between the arrival of the statement and the sending of this
+        message. The gateway subtracts it from the time of receipt. The
+        unknown transmission time makes the resulting arrival later than the
+        actual one, so staleness limits become stricter, never looser.
     values : dict of str to str
-        Session values.
+        Session variables.
     definition : tuple of (bool, str) or None
         Prepared statement to execute: whether it writes, and its text.
-    own : Position or None
-        Last commit of the session.
+    session_position : Position or None
+        Position of the last commit of the session.
     transaction : int
         Identifies the transaction on this connection; 0 outside one.
     begins : bool
         Whether this is the first statement of the transaction.
     read_only : bool
-        Whether the caller began the transaction for reads only.
+        Whether the client began the transaction as read-only.
     begun_age_s : float
-        How long before this message the begin had arrived.
+        Time between the arrival of the begin and the sending of this
+        message.
     """
 
     number: int
@@ -64,38 +70,40 @@
     argument: str = ""
     values: dict[str, str] = {}
     definition: tuple[bool, str] | None = None
-    own: Position | None = None
+    session_position: Position | None = msgspec.field(default=None, name="own")
     transaction: int = 0
     begins: bool = False
     read_only: bool = False
     begun_age_s: float = 0.0
 
 
-class Rollback(msgspec.Struct, frozen=True, tag="rollback"):
-    """End a transaction; not answered."""
+class RollbackRequest(msgspec.Struct, frozen=True, tag="rollback"):
+    """Request to roll back a transaction; there is no response."""
 
     transaction: int
 
 
-class Answer(msgspec.Struct, frozen=True, tag="answer", omit_defaults=True):
-    """Outcome of a statement.
+class RunResponse(
+    msgspec.Struct, frozen=True, tag="answer", omit_defaults=True
+):
+    """Result of a statement.
 
     Attributes
     ----------
     number : int
-        Of the call.
+        Identifies the call on this connection.
     rows, signature
         As in `chivescale.dialect.Reply`.
     kind : ErrorKind or None
-        None in case of success.
+        Kind of the failure; None on success.
     reason : str
-        Of a failure.
+        Reason of the failure.
     commit : Position or None
-        Position of a write that was committed.
-    endpoint, attempts, need, proof_age_s
-        What decided, for the log of the host that asked.
+        Position of a committed write.
+    endpoint, attempts, min_position, proof_age_s
+        Execution details, logged by the requesting host.
     waiting : int
-        Statements under way or waiting at the gateway.
+        Statements running or queued at the gateway.
     """
 
     number: int
@@ -106,22 +114,25 @@
     commit: Position | None = None
     endpoint: str = ""
     attempts: int = 0
-    need: Position | None = None
+    min_position: Position | None = msgspec.field(default=None, name="need")
     proof_age_s: float = -1.0
     waiting: int = 0
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
-    """Asks whether the connection still works."""
+    """Checks that the connection works."""
 
 
 class Pong(msgspec.Struct, frozen=True, tag="pong"):
-    """Answer to `Ping`."""
+    """Response to `Ping`."""
 
 
-class Bye(msgspec.Struct, frozen=True, tag="bye"):
-    """The gateway stops: no new statements; open transactions go on."""
+class GoAway(msgspec.Struct, frozen=True, tag="bye"):
+    """Sent by a gateway that is shutting down.
+
+    It accepts no new statements; open transactions continue.
+    """
 
 
-ToGateway = Hello | Run | Rollback | Ping
-FromGateway = Answer | Pong | Bye
+GatewayRequest = Hello | RunRequest | RollbackRequest | Ping
+GatewayResponse = RunResponse | Pong | GoAway
--- a/chivescale/gateway/tests/steps/gateway_plan_steps.py
+++ b/chivescale/gateway/tests/steps/gateway_plan_steps.py
@@ -1,21 +1,21 @@
-"""Steps for the choice of gateways."""
+"""Steps for the selection of gateways."""
 
 import random
 
 from behave import given, then, when
 
 from chivescale import clock
-from chivescale.gateway import Peer, gateways_of
+from chivescale.gateway import GatewayClient, select_gateways
 from chivescale.relay._forwarder import Forwarder
 
 SERVICES = ("ledger", "atelier", "creel", "slots")
-GATEWAY_LINKS = 2
+MIN_GATEWAY_CONNECTIONS = 2
 
 
 def plan(hosts, connections: int) -> dict[str, frozenset[str]]:
     return {
-        service: gateways_of(
-            service, SERVICES, hosts, connections, 1, GATEWAY_LINKS
+        service: select_gateways(
+            service, SERVICES, hosts, connections, 1, MIN_GATEWAY_CONNECTIONS
         )
         for service in SERVICES
     }
@@ -41,7 +41,7 @@
         assert share * len(names) <= connections
 
 
-@when("one host ends")
+@when("one host is removed")
 def host_ends(context):
     context.before = context.plan
     context.plan = plan(context.hosts[1:], context.connections)
@@ -74,8 +74,8 @@
     names = []
     for text in gateways.split(", "):
         name, zone, waiting, *state = text.split(" ")
-        peer = Peer("own", name, zone, "127.0.0.1:9")
-        peer.waiting, peer.waiting_at = int(waiting), time
+        peer = GatewayClient("own", name, zone, "127.0.0.1:9")
+        peer.reported_load, peer.reported_load_at = int(waiting), time
         peer.leaving = "leaving" in state
         peer.failed = "failed" in state
         forwarder.peers[name] = peer
@@ -85,5 +85,5 @@
 
 @then("a statement goes to {choice}")
 def goes_to(context, choice):
-    peer = context.forwarder.choose("ledger", set())
+    peer = context.forwarder.choose_gateway("ledger", set())
     assert (peer.name if peer else "nothing") == choice
--- a/chivescale/relay/__init__.py
+++ b/chivescale/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Entry role for services whose replication and promotion are elsewhere."""
+"""Entry role for services with external replication and promotion."""
 
 from chivescale.relay._host import RelayHost, RelaySettings
 
--- a/chivescale/relay/_coordinator_watcher.py
+++ b/chivescale/relay/_coordinator_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the coordinators: configuration, endpoints, suspicions."""
+"""Watches a coordinator for changes of configuration, endpoints and hosts."""
 
 import asyncio
 import zlib
@@ -17,66 +17,79 @@
 )
 from chivescale.telemetry import log_event
 
-# A long poll is held by the coordinator for up to this long.
-WATCH_MS = 700
-# Beyond the hold, an answer may take this long.
-WATCH_SLACK_S = 0.4
-# A coordinator that has not been in contact with a quorum for longer does
-# not know what is in force; another one is asked.
-MAX_AGE_S = 0.5
-RETRY_PAUSE_S = 0.1
-# The coordinator of the own zone is tried again this long after it failed.
-OWN_ZONE_RETRY_S = 5.0
-# A suspected endpoint is reachable if it answers within this time, or did so
-# no longer ago.
-OPINION_TIMEOUT_S = 0.15
-
-
-class Follower:
-    """Long polls one coordinator, and another one when that fails.
+# Maximum time for which a coordinator holds a long poll.
+LONG_POLL_MS = 700
+# Time allowed for the response in addition to the hold time.
+LONG_POLL_MARGIN_S = 0.4
+# A coordinator without contact to a quorum for longer than this may not know
+# the configuration in force; another one is used.
+MAX_COORDINATOR_STALENESS_S = 0.5
+RETRY_DELAY_S = 0.1
+# Minimum interval between attempts to return to the coordinator of the own
+# zone.
+SAME_ZONE_RETRY_S = 5.0
+# A suspected endpoint is reported as reachable if it responds within this
+# time, or has responded no longer ago than this.
+REACHABILITY_TIMEOUT_S = 0.15
+
+
+class CoordinatorWatcher:
+    """Long-polls one coordinator and fails over to another one.
 
     Parameters
     ----------
     host : RelayHost
-        Owner.
+        Host that receives the updates.
+
+    Attributes
+    ----------
+    coordinators : list of str
+        Addresses of the known coordinators.
+    boot : str
+        Boot identifier of the coordinator to which the revisions refer.
+    long_poll : bool
+        Whether the next request may be held; False right after a switch, so
+        that the new coordinator responds immediately.
     """
 
     def __init__(self, host):
         self.host = host
-        self.members: list[str] = list(host.settings.seeds)
-        self.current = 0
+        self.coordinators: list[str] = list(host.settings.seeds)
+        self.current_index = 0
         self.boot = ""
         self.revision = -1
         self.hosts_revision = -1
         self.suspects: tuple[str, ...] = ()
         self.leader = ""
         self.connected = False
-        self.fresh_at = now()
-        self.retry_own_zone_at = 0.0
-        self.waits = False
+        self.last_updated_at = now()
+        self.retry_same_zone_at = 0.0
+        self.long_poll = False
         self.tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        self.host.rng.shuffle(self.members)
+        """Poll until cancelled."""
+        self.host.rng.shuffle(self.coordinators)
         while True:
-            address = self.members[self.current % len(self.members)]
-            answer = await self._poll(address)
-            if is_failure(answer):
-                self._note_connection(False, address, answer.reason)
-                self._switch()
-                await asyncio.sleep(RETRY_PAUSE_S)
+            address = self.coordinators[
+                self.current_index % len(self.coordinators)
+            ]
+            response = await self._poll(address)
+            if is_failure(response):
+                self._set_connected(False, address, response.reason)
+                self._switch_coordinator()
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            self._apply(answer)
-            if answer.age_s > MAX_AGE_S:
-                reason = f"out of contact for {answer.age_s:.3g} s"
-                self._note_connection(False, address, reason)
-                self._switch()
-                await asyncio.sleep(RETRY_PAUSE_S)
+            self._apply_response(response)
+            if response.age_s > MAX_COORDINATOR_STALENESS_S:
+                reason = f"no contact to a quorum for {response.age_s:.3g} s"
+                self._set_connected(False, address, reason)
+                self._switch_coordinator()
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            self.fresh_at = now() - answer.age_s
-            self._note_connection(True, address, "")
-            self.waits = True
+            self.last_updated_at = now() - response.age_s
+            self._set_connected(True, address, "")
+            self.long_poll = True
 
     async def _poll(self, address: str):
         catalog, settings = self.host.catalog, self.host.settings
@@ -90,26 +103,27 @@
             revision=self.revision,
             version=catalog.version if catalog else -1,
             suspects=self.suspects,
-            wait_ms=WATCH_MS if self.waits else 0,
+            wait_ms=LONG_POLL_MS if self.long_poll else 0,
         )
-        return await self.host.client.call(
+        return await self.host.http_client.call(
             address,
             "POST",
             "/v1/watch",
             WatchAnswer,
             request,
-            timeout_s=(WATCH_MS / 1000 if self.waits else 0) + WATCH_SLACK_S,
+            timeout_s=(LONG_POLL_MS / 1000 if self.long_poll else 0)
+            + LONG_POLL_MARGIN_S,
         )
 
     def add_seeds(self, seeds: list[str]) -> None:
-        """Take over addresses from changed settings."""
-        self.members += [s for s in seeds if s not in self.members]
+        """Add coordinator addresses from changed settings."""
+        self.coordinators += [s for s in seeds if s not in self.coordinators]
 
-    def _switch(self) -> None:
-        self.current += 1
-        self.waits = False
+    def _switch_coordinator(self) -> None:
+        self.current_index += 1
+        self.long_poll = False
 
-    def _note_connection(self, ok: bool, address: str, reason: str) -> None:
+    def _set_connected(self, ok: bool, address: str, reason: str) -> None:
         if ok != self.connected:
             self.connected = ok
             log_event(
@@ -120,28 +134,31 @@
                 reason=reason,
             )
 
-    def _apply(self, answer: WatchAnswer) -> None:
+    def _apply_response(self, response: WatchAnswer) -> None:
         host = self.host
-        if answer.catalog and (
-            host.catalog is not None or answer.age_s <= MAX_AGE_S
+        if response.catalog and (
+            host.catalog is not None
+            or response.age_s <= MAX_COORDINATOR_STALENESS_S
         ):
-            # A host that just started must not begin with an old one.
-            self._apply_catalog(answer.catalog)
-        for news in answer.endpoints:
-            host.apply_news(news)
-        if answer.boot != self.boot:
+            # A host that has just started must not use a stale configuration.
+            self._apply_catalog(response.catalog)
+        for update in response.endpoints:
+            host.apply_endpoint_update(update)
+        if response.boot != self.boot:
             self.hosts_revision = -1
-        self.boot, self.revision = answer.boot, answer.revision
-        if answer.members:
-            self._update_members(answer.members)
-        if answer.hosts_revision != self.hosts_revision:
-            self.hosts_revision = answer.hosts_revision
-            host.set_entry_hosts(answer.hosts)
-        self.leader = answer.leader
-        if answer.suspects != self.suspects:
-            self.suspects = answer.suspects
+        self.boot, self.revision = response.boot, response.revision
+        if response.members:
+            self._update_members(response.members)
+        if response.hosts_revision != self.hosts_revision:
+            self.hosts_revision = response.hosts_revision
+            host.set_entry_hosts(response.hosts)
+        self.leader = response.leader
+        if response.suspects != self.suspects:
+            self.suspects = response.suspects
             if self.suspects and self.leader:
-                task = asyncio.ensure_future(self._report(self.suspects))
+                task = asyncio.ensure_future(
+                    self._report_reachability(self.suspects)
+                )
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
 
@@ -153,75 +170,79 @@
         self.host.apply_catalog(catalog)
 
     def _update_members(self, members: dict[str, str]) -> None:
-        known = set(self.members)
+        known = set(self.coordinators)
         if set(members) - known:
             new = [m for m in members if m not in known]
-            self.members += new
+            self.coordinators += new
         stale = known - set(members) - set(self.host.settings.seeds)
-        current = self.members[self.current % len(self.members)]
-        self.members = [m for m in self.members if m not in stale]
-        if current in self.members:
-            self.current = self.members.index(current)
-        self._prefer_own_zone(members, current)
-
-    def _prefer_own_zone(self, members: dict[str, str], current: str) -> None:
-        """Return to the coordinator of the own zone once it works again."""
+        current = self.coordinators[
+            self.current_index % len(self.coordinators)
+        ]
+        self.coordinators = [m for m in self.coordinators if m not in stale]
+        if current in self.coordinators:
+            self.current_index = self.coordinators.index(current)
+        self._prefer_same_zone(members, current)
+
+    def _prefer_same_zone(self, members: dict[str, str], current: str) -> None:
+        """Switch back to the coordinator of the own zone, if there is one."""
         zone = self.host.settings.zone
-        if members.get(current) == zone or now() < self.retry_own_zone_at:
+        if members.get(current) == zone or now() < self.retry_same_zone_at:
             return
-        near = [a for a, z in members.items() if z == zone]
-        if near:
-            self.retry_own_zone_at = now() + OWN_ZONE_RETRY_S
-            self.current = self.members.index(near[0])
-            self.waits = False
-
-    # Opinions.
-
-    async def _report(self, suspects: tuple[str, ...]) -> None:
-        """Tell the leader which suspected endpoints this host reaches."""
-        checks = await asyncio.gather(*(self._reaches(e) for e in suspects))
+        same_zone = [a for a, z in members.items() if z == zone]
+        if same_zone:
+            self.retry_same_zone_at = now() + SAME_ZONE_RETRY_S
+            self.current_index = self.coordinators.index(same_zone[0])
+            self.long_poll = False
+
+    # Reachability reports.
+
+    async def _report_reachability(self, suspects: tuple[str, ...]) -> None:
+        """Report to the leader which suspected endpoints are reachable."""
+        results = await asyncio.gather(
+            *(self._is_reachable(e) for e in suspects)
+        )
         reachable = {
             endpoint: reached
-            for endpoint, reached in zip(suspects, checks, strict=True)
+            for endpoint, reached in zip(suspects, results, strict=True)
             if reached is not None
         }
         if not reachable:
             return
         report = OpinionReport(self.host.settings.name, reachable)
-        answer = await self.host.client.call(
+        response = await self.host.http_client.call(
             self.leader,
             "POST",
             "/v1/opinions",
             Done,
             report,
-            timeout_s=OPINION_TIMEOUT_S * 2,
+            timeout_s=REACHABILITY_TIMEOUT_S * 2,
         )
         log_event(
             "opinion",
             reachable=",".join(f"{k}:{v}" for k, v in reachable.items()),
-            delivered=not is_failure(answer),
+            delivered=not is_failure(response),
         )
 
-    async def _reaches(self, name: str) -> bool | None:
-        """Tell whether an endpoint answers; None if it is not known."""
+    async def _is_reachable(self, name: str) -> bool | None:
+        """Return whether an endpoint responds; None if it is unknown."""
         endpoint = self.host.by_id.get(name)
         if endpoint is None:
             return None
         if not self.host.executor.serves(endpoint.beat.service):
-            # Its gateways know; connections are scarce.
+            # Connections are scarce, so only gateways check the endpoint.
             return None
-        if now() - endpoint.measured_at < OPINION_TIMEOUT_S:
+        if now() - endpoint.latency_measured_at < REACHABILITY_TIMEOUT_S:
             return True
-        beat = endpoint.beat
-        link = await open_link(
-            self.host.endpoints,
-            beat.address,
-            beat.service,
-            beat.endpoint,
-            OPINION_TIMEOUT_S,
+        heartbeat = endpoint.beat
+        connection = await open_link(
+            self.host.endpoint_dialect,
+            heartbeat.address,
+            heartbeat.service,
+            heartbeat.endpoint,
+            REACHABILITY_TIMEOUT_S,
         )
-        if is_failure(link):
-            # An endpoint that refuses another connection lives.
-            return link.kind is ErrorKind.ENDPOINT_FULL
-        link.close()
+        if is_failure(connection):
+            # An endpoint that rejects a connection at its limit is running.
+            return connection.kind is ErrorKind.ENDPOINT_FULL
+        connection.close()
         return True
--- a/chivescale/relay/_endpoint.py
+++ b/chivescale/relay/_endpoint.py
@@ -1,4 +1,4 @@
-"""What an entry host knows of the endpoints of a service."""
+"""State of endpoints and services as seen by an entry host."""
 
 import asyncio
 import collections
@@ -12,185 +12,194 @@
 from chivescale.link import Link, can_connect, open_link
 from chivescale.messages import Position
 from chivescale.registry import EndpointBeat
-from chivescale.relay._freshness import PrimarySample
-from chivescale.relay._pool import LinkPool
+from chivescale.relay._freshness import ConfirmedPosition
+from chivescale.relay._pool import ConnectionPool
 from chivescale.telemetry import log_event
 
-# Expected latency of an endpoint of which nothing was heard lately.
+# Expected latency of an endpoint without recent measurements.
 BASE_LATENCY_S = 0.015
-# Share of a new measurement in the average latency.
-LATENCY_WEIGHT = 0.3
-# An old measurement loses half of its weight in this time.
+# Weight of a new measurement in the moving average of the latency.
+LATENCY_EWMA_WEIGHT = 0.3
+# The influence of the average halves in this time without measurements.
 LATENCY_HALF_LIFE_S = 1.0
-# A round trip to another zone, and its priced bytes, against a queue.
-OTHER_ZONE_S = 0.004
-# The primary keeps room for work that no other endpoint can do.
-PRIMARY_FACTOR = 1.6
-# A replica that was behind a read is passed over for about one more lag.
-BEHIND_S = 0.05
-# Without a claim, an endpoint that refused a write is tried again after this.
-REFUSED_S = 0.5
-# An endpoint that has answered nothing for this long while a statement runs
-# is checked. Pauses of up to 300 ms are normal.
-SILENT_S = 0.35
-# A statement whose answer is this late, plus a multiple of the usual latency,
-# while later ones were answered, has lost its answer.
-LOST_ANSWER_S = 0.3
-LOST_ANSWER_FACTOR = 6.0
-# Statements wait in one queue at an endpoint, so the fastest one of the last
-# second shows how long the queue was all the time, however much their run
-# times differ. A standing queue above the target makes transactions of many
-# statements miss their limits, and what ran for them is lost.
+# Cost of a round trip to another zone, including its billed traffic, in terms
+# of queueing time.
+CROSS_ZONE_COST_S = 0.004
+# Keeps capacity of the primary free for work that only it can do.
+PRIMARY_COST_FACTOR = 1.6
+# A replica that lacked the position of a read is avoided for about one more
+# replication lag.
+LAG_BACKOFF_S = 0.05
+# An endpoint that refused a write and does not claim to be the primary is
+# tried again after this time.
+NOT_PRIMARY_BACKOFF_S = 0.5
+# An endpoint with running statements that has not responded for this long is
+# probed. Pauses of up to 300 ms are normal.
+SILENCE_TIMEOUT_S = 0.35
+# A response is considered lost if the endpoint has responded to later
+# statements and this time plus a multiple of the expected latency has passed.
+LOST_RESPONSE_TIMEOUT_S = 0.3
+LOST_RESPONSE_LATENCY_FACTOR = 6.0
+# The minimum latency within the window is the delay of the standing queue,
+# independent of how much run times vary, because all statements wait in one
+# queue at the endpoint. Above the target, transactions of many statements
+# exceed their time limits, and the work done for them is wasted.
 QUEUE_WINDOW_S = 1.0
-QUEUE_TARGET_S = 0.05
-QUEUE_SAMPLES = 3
-MAX_SAMPLES = 64
-# A check is a new connection, which a machine that runs accepts at once,
-# however busy its slots are.
-TRIAL_TIMEOUT_S = 0.25
-TRIAL_PAUSE_S = 0.2
-CHECK_PAUSE_S = 0.5
+QUEUE_DELAY_TARGET_S = 0.05
+MIN_QUEUE_SAMPLES = 3
+MAX_LATENCY_SAMPLES = 64
+# A probe opens a new connection. A running host accepts it immediately, even
+# if all slots of the endpoint are busy.
+PROBE_TIMEOUT_S = 0.25
+PROBE_INTERVAL_S = 0.2
+CHECK_INTERVAL_S = 0.5
 
 
-class Running(msgspec.Struct, eq=False):
-    """A statement under way.
+class InFlightStatement(msgspec.Struct, eq=False):
+    """Statement that awaits its reply.
 
     Attributes
     ----------
     started : float
-        When it was sent.
+        Time at which it was sent.
     link : Link
-        Where it runs.
-    revocable : bool
-        Whether ending it leaves nothing behind: a read, or a statement of
-        a transaction that nobody has asked to commit.
+        Connection on which it runs.
+    abortable : bool
+        Whether it can be aborted without side effects: a read, or a statement
+        of a transaction for which no commit was requested.
     """
 
     started: float
     link: Link
-    revocable: bool
+    abortable: bool
 
 
 class Endpoint:
-    """One endpoint and the links to it.
+    """Endpoint and the connections of this host to it.
 
     Attributes
     ----------
     beat : EndpointBeat
-        Last statement that the endpoint made of itself.
+        Last heartbeat of the endpoint.
     primary_since : float
-        When it began to call itself primary; 0 if it does not.
+        Time since which it claims to be the primary; 0 if it does not.
     position : Position or None
         Last log entry known to be applied.
-    running : dict of Running to None
-        Statements under way from this host, the oldest first.
+    running : dict of InFlightStatement to None
+        Statements of this host that await a reply, oldest first.
     suspected : bool
-        Whether it seems unreachable.
-    refused_at : float
-        When it last said that it is not the primary.
-    wrong : bool
-        Whether another endpoint answers at its address.
+        Whether it appears to be unreachable.
+    not_primary_at : float
+        Time at which it last reported not to be the primary.
+    address_mismatch : bool
+        Whether a different endpoint responds at its address.
     """
 
-    def __init__(self, beat: EndpointBeat, dialect: EndpointDialect):
-        self.beat = beat
+    def __init__(self, heartbeat: EndpointBeat, dialect: EndpointDialect):
+        self.beat = heartbeat
         self.dialect = dialect
         self.primary_since = 0.0
         self.position: Position | None = None
         self.latency_s = BASE_LATENCY_S
-        self.measured_at = 0.0
-        self.refused_at = 0.0
-        self.behind_until = 0.0
-        self.wrong = False
-        self.running: dict[Running, None] = {}
-        self.answered_at = 0.0
+        self.latency_measured_at = 0.0
+        self.not_primary_at = 0.0
+        self.lagging_until = 0.0
+        self.address_mismatch = False
+        self.running: dict[InFlightStatement, None] = {}
+        self.last_response_at = 0.0
         self.latencies: collections.deque[tuple[float, float]] = (
-            collections.deque(maxlen=MAX_SAMPLES)
+            collections.deque(maxlen=MAX_LATENCY_SAMPLES)
         )
         self.suspected = False
-        self.trial: asyncio.Task | None = None
-        self.check_again_at = 0.0
-        self.reachable = can_connect
-        self.pool = LinkPool(self._open)
-
-    async def _open(self, timeout_s: float) -> Link | Failure:
-        beat = self.beat
-        link = await open_link(
-            self.dialect, beat.address, beat.service, beat.endpoint, timeout_s
+        self.probe_task: asyncio.Task | None = None
+        self.next_check_at = 0.0
+        self.probe = can_connect
+        self.pool = ConnectionPool(self._connect)
+
+    async def _connect(self, timeout_s: float) -> Link | Failure:
+        heartbeat = self.beat
+        connection = await open_link(
+            self.dialect,
+            heartbeat.address,
+            heartbeat.service,
+            heartbeat.endpoint,
+            timeout_s,
         )
-        if is_failure(link):
-            if link.kind is ErrorKind.WRONG_ENDPOINT:
-                self.wrong = True
-            elif link.kind is ErrorKind.UNREACHABLE:
-                self.suspect(link.reason)
-        return link
+        if is_failure(connection):
+            if connection.kind is ErrorKind.WRONG_ENDPOINT:
+                self.address_mismatch = True
+            elif connection.kind is ErrorKind.UNREACHABLE:
+                self.suspect(connection.reason)
+        return connection
 
     def usable(self, time: float) -> bool:
-        """Tell whether new work may be sent."""
-        if self.wrong or self.suspected:
+        """Return whether new statements may be sent."""
+        if self.address_mismatch or self.suspected:
             return False
         return not self.pool.failing(time)
 
     @property
-    def outstanding(self) -> int:
-        """Statements under way from this host."""
+    def in_flight(self) -> int:
+        """Number of statements of this host that await a reply."""
         return len(self.running)
 
-    def check_silence(self, time: float) -> None:
-        """Suspect the endpoint if a statement has waited for too long."""
+    def check_timeouts(self, time: float) -> None:
+        """Probe a silent endpoint and abort statements with lost replies."""
         if self.suspected or not self.running:
             return
         oldest = next(iter(self.running))
-        heard = max(oldest.started, self.answered_at)
-        if time - heard > SILENT_S:
-            self.suspect(f"no answer for {time - heard:.3f} s")
+        last_active_at = max(oldest.started, self.last_response_at)
+        if time - last_active_at > SILENCE_TIMEOUT_S:
+            self.suspect(f"no response for {time - last_active_at:.3f} s")
             return
-        self._end_lost(time)
+        self._abort_overdue(time)
 
-    def _end_lost(self, time: float) -> None:
-        """End statements whose answer was lost on a living endpoint.
+    def _abort_overdue(self, time: float) -> None:
+        """Abort statements whose reply a working endpoint did not deliver.
 
-        The caller of a read is served over another link, and the one of a
-        transaction can begin it again while there is time.
+        A read is then retried on another connection, and the client of a
+        transaction can restart it within its time limit.
         """
-        usual = LOST_ANSWER_FACTOR * self.expected_latency_s(time)
+        margin_s = LOST_RESPONSE_LATENCY_FACTOR * self.expected_latency_s(time)
         for running in list(self.running):
             age = time - running.started
-            if age < LOST_ANSWER_S + usual:
+            if age < LOST_RESPONSE_TIMEOUT_S + margin_s:
                 return
-            if running.revocable and self.answered_at > running.started:
+            if running.abortable and self.last_response_at > running.started:
                 running.link.abort()
 
     def suspect(self, reason: str) -> None:
-        """Check whether the endpoint is reachable; if not, send no new work.
+        """Probe the endpoint and stop using it if it is unreachable.
 
-        A slow endpoint accepts connections although its answers are late,
-        and is still the best one for work that only it can do.
+        A slow endpoint still accepts connections. It stays in use, because
+        it may be the only one that can run certain statements.
         """
         time = now()
-        if time < self.check_again_at:
+        if time < self.next_check_at:
             return
-        self.check_again_at = time + CHECK_PAUSE_S
-        if self.trial is None or self.trial.done():
-            self.trial = asyncio.ensure_future(self._check(reason))
-
-    async def _check(self, reason: str) -> None:
-        if await self.reachable(self.beat.address, TRIAL_TIMEOUT_S):
-            # It lives, so a statement that is long overdue by the latency of
-            # the last second has lost its answer.
-            self.answered_at = now()
+        self.next_check_at = time + CHECK_INTERVAL_S
+        if self.probe_task is None or self.probe_task.done():
+            self.probe_task = asyncio.ensure_future(
+                self._check_reachability(reason)
+            )
+
+    async def _check_reachability(self, reason: str) -> None:
+        if await self.probe(self.beat.address, PROBE_TIMEOUT_S):
+            # The endpoint works, so the reply to a statement that is overdue
+            # by the recent latency is considered lost.
+            self.last_response_at = now()
             log_event(
                 "endpoint_slow", endpoint=self.beat.endpoint, reason=reason
             )
             return
-        self._stop_using(reason)
-        while not await self.reachable(self.beat.address, TRIAL_TIMEOUT_S):
-            await asyncio.sleep(TRIAL_PAUSE_S)
-        self.answered_at = now()
+        self._mark_suspected(reason)
+        while not await self.probe(self.beat.address, PROBE_TIMEOUT_S):
+            await asyncio.sleep(PROBE_INTERVAL_S)
+        self.last_response_at = now()
         self.suspected = False
         log_event("endpoint_trusted", endpoint=self.beat.endpoint)
 
-    def _stop_using(self, reason: str) -> None:
+    def _mark_suspected(self, reason: str) -> None:
         self.suspected = True
         log_event(
             "endpoint_suspected",
@@ -200,81 +209,85 @@
             running=len(self.running),
             reason=reason,
         )
-        self.pool.drop_idle()
+        self.pool.close_idle()
         for running in list(self.running):
-            if running.revocable:
+            if running.abortable:
                 running.link.abort()
 
     def close(self) -> None:
-        """Close the links and stop trying."""
-        if self.trial is not None:
-            self.trial.cancel()
+        """Close the connections and stop probing."""
+        if self.probe_task is not None:
+            self.probe_task.cancel()
         self.pool.close()
 
-    def note_answer(
+    def record_response(
         self, position: Position | None, latency_s: float, time: float
     ) -> None:
-        """Take over what an answer tells."""
+        """Update position and latency from a response."""
         if position is not None:
             self.position = position
         average = self.expected_latency_s(time)
-        self.latency_s = average + LATENCY_WEIGHT * (latency_s - average)
-        self.measured_at = self.answered_at = time
+        self.latency_s = average + LATENCY_EWMA_WEIGHT * (latency_s - average)
+        self.latency_measured_at = self.last_response_at = time
         self.latencies.append((time, latency_s))
 
-    def standing_queue_s(self, time: float) -> float:
-        """Return how long statements have waited at least, lately."""
+    def standing_queue_delay_s(self, time: float) -> float:
+        """Return the minimum latency within the recent window."""
         recent = self.latencies
         while recent and time - recent[0][0] > QUEUE_WINDOW_S:
             recent.popleft()
-        if len(recent) < QUEUE_SAMPLES:
+        if len(recent) < MIN_QUEUE_SAMPLES:
             return 0.0
         return min(latency for _, latency in recent)
 
     def admits(self, time: float, draw: float) -> bool:
-        """Tell whether new work is sent, for a random `draw` below 1.
+        """Return whether to admit new work, given a random `draw` below 1.
 
-        Of what would only lengthen a standing queue, the surplus is
-        refused at once, so that the rest is served in time.
+        Statements that would only lengthen a standing queue are rejected
+        immediately, so that the others finish within their time limits.
         """
-        return draw * self.standing_queue_s(time) < QUEUE_TARGET_S
+        return draw * self.standing_queue_delay_s(time) < QUEUE_DELAY_TARGET_S
 
     def expected_latency_s(self, time: float) -> float:
-        """Return the latency, the less weighted the older it is."""
-        age = time - self.measured_at
+        """Return the average latency, decayed towards the base latency."""
+        age = time - self.latency_measured_at
         weight = 0.5 ** min(50.0, age / LATENCY_HALF_LIFE_S)
         return BASE_LATENCY_S + (self.latency_s - BASE_LATENCY_S) * weight
 
-    def cost_s(
-        self, zone: str, need: Position | None, primary: bool, time: float
+    def read_cost_s(
+        self,
+        zone: str,
+        min_position: Position | None,
+        primary: bool,
+        time: float,
     ) -> float:
-        """Estimate how long a read takes here."""
-        waiting = self.outstanding + self.pool.waiting
+        """Return the estimated cost of a read on this endpoint."""
+        waiting = self.in_flight + self.pool.waiting
         cost = self.expected_latency_s(time)
         cost *= 1 + waiting / max(1, self.beat.slots)
         if self.beat.zone != zone:
-            cost += OTHER_ZONE_S
+            cost += CROSS_ZONE_COST_S
         if primary:
-            return cost * PRIMARY_FACTOR
-        behind = need is not None and (
-            self.position is None or self.position < need
+            return cost * PRIMARY_COST_FACTOR
+        behind = min_position is not None and (
+            self.position is None or self.position < min_position
         )
-        if behind and time < self.behind_until:
-            cost += BEHIND_S * 4
+        if behind and time < self.lagging_until:
+            cost += LAG_BACKOFF_S * 4
         return cost
 
 
 class Service:
-    """The endpoints of one service as this host sees them.
+    """Endpoints of one service and what is known about its primary.
 
     Attributes
     ----------
     endpoints : dict of str to Endpoint
-        By identifier; those that ended are removed.
-    sample : PrimarySample
-        Newest proven position.
+        Endpoints by identifier.
+    confirmed : ConfirmedPosition
+        Newest position confirmed by a primary.
     primary : str
-        Endpoint that last proved to lead; empty if unknown.
+        Endpoint last confirmed as primary; empty if unknown.
     """
 
     def __init__(self, name: str, zone: str, rng: random.Random):
@@ -282,59 +295,64 @@
         self.zone = zone
         self.rng = rng
         self.endpoints: dict[str, Endpoint] = {}
-        self.sample = PrimarySample()
+        self.confirmed = ConfirmedPosition()
         self.primary = ""
-        self.proved_at = 0.0
+        self.primary_confirmed_at = 0.0
 
-    def note_lead(
+    def record_primary(
         self, endpoint: Endpoint, position: Position | None, sent_at: float
     ) -> None:
-        """Note that an endpoint led after `sent_at`."""
-        self.sample.note(position, sent_at)
-        if sent_at >= self.proved_at:
+        """Record that an endpoint was the primary after `sent_at`."""
+        self.confirmed.record(position, sent_at)
+        if sent_at >= self.primary_confirmed_at:
             self.primary = endpoint.beat.endpoint
-            self.proved_at = sent_at
+            self.primary_confirmed_at = sent_at
 
-    def note_refusal(self, endpoint: Endpoint) -> None:
-        """Note that an endpoint is not the primary."""
-        endpoint.refused_at = now()
+    def record_not_primary(self, endpoint: Endpoint) -> None:
+        """Record that an endpoint is not the primary."""
+        endpoint.not_primary_at = now()
         if self.primary == endpoint.beat.endpoint:
             self.primary = ""
 
-    def primaries(self, time: float) -> list[Endpoint]:
-        """Return the endpoints that may lead, the likeliest first.
+    def primary_candidates(self, time: float) -> list[Endpoint]:
+        """Return the endpoints that may be primary, most likely first.
 
-        The one that proved it last comes first unless another one claims
-        it since. An endpoint without a claim is tried when none with a
-        claim can be used: a host that has lost the coordinators finds the
-        next primary this way, and any other endpoint refuses at once.
+        The endpoint confirmed last comes first unless another one has
+        claimed to be primary since. Endpoints without a claim are returned
+        only if no endpoint with a claim is usable. This lets a host that has
+        lost the coordinators find a new primary; an endpoint that is not the
+        primary refuses immediately.
         """
         usable = [e for e in self.endpoints.values() if e.usable(time)]
         claims = [
-            (max(e.primary_since, self._proof(e)), e.beat.endpoint, e)
+            (max(e.primary_since, self._confirmed_at(e)), e.beat.endpoint, e)
             for e in usable
-            if max(e.primary_since, self._proof(e)) > e.refused_at
+            if max(e.primary_since, self._confirmed_at(e)) > e.not_primary_at
         ]
         if claims:
             return [e for _, _, e in sorted(claims, reverse=True)]
-        others = [e for e in usable if time - e.refused_at > REFUSED_S]
-        return sorted(others, key=lambda e: e.refused_at)
+        others = [
+            e
+            for e in usable
+            if time - e.not_primary_at > NOT_PRIMARY_BACKOFF_S
+        ]
+        return sorted(others, key=lambda e: e.not_primary_at)
 
     def admits(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint gets more new work."""
+        """Return whether to send new work to an endpoint."""
         return endpoint.admits(now(), self.rng.random())
 
-    def _proof(self, endpoint: Endpoint) -> float:
+    def _confirmed_at(self, endpoint: Endpoint) -> float:
         if self.primary == endpoint.beat.endpoint:
-            return self.proved_at
+            return self.primary_confirmed_at
         return 0.0
 
-    def readers(
-        self, need: Position | None, excluded: set[str], time: float
+    def read_candidates(
+        self, min_position: Position | None, excluded: set[str], time: float
     ) -> list[Endpoint]:
-        """Return the endpoints for a read, the cheapest first.
+        """Return the endpoints for a read, lowest cost first.
 
-        A leaving endpoint gets no new work unless there is no other.
+        Draining endpoints are excluded.
         """
         usable = [
             e
@@ -344,8 +362,11 @@
         staying = [e for e in usable if not e.beat.draining]
         costs = [
             (
-                e.cost_s(
-                    self.zone, need, self.primary == e.beat.endpoint, time
+                e.read_cost_s(
+                    self.zone,
+                    min_position,
+                    self.primary == e.beat.endpoint,
+                    time,
                 )
                 * self.rng.uniform(0.95, 1.05),
                 e.beat.endpoint,
--- a/chivescale/relay/_executor.py
+++ b/chivescale/relay/_executor.py
@@ -1,4 +1,4 @@
-"""Runs statements on endpoints under the guarantees of their routes."""
+"""Executes statements on endpoints with the consistency of their routes."""
 
 import asyncio
 import collections.abc
@@ -12,455 +12,527 @@
 from chivescale.link import Link
 from chivescale.messages import Position
 from chivescale.relay._endpoint import (
-    BEHIND_S,
+    LAG_BACKOFF_S,
     Endpoint,
-    Running,
+    InFlightStatement,
     Service,
 )
-from chivescale.relay._offers import Offers
+from chivescale.relay._hedging import HedgedReads
 from chivescale.relay._outcomes import (
-    NOT_RUN,
-    aborted,
-    may_repeat_read,
-    no_endpoint,
-    not_started,
-    queue_refusal,
-    write_failure,
+    NOT_EXECUTED,
+    as_aborted,
+    as_not_sent,
+    as_write_failure,
+    is_retryable_read,
+    no_endpoint_failure,
+    queue_delay_failure,
 )
-from chivescale.relay._prepare import Need, forwarded_text, prepare_link
-from chivescale.relay._proofs import Proofs, no_primary, note_silence
-from chivescale.relay._returns import Returns
+from chivescale.relay._prepare import (
+    RequiredState,
+    forwarded_text,
+    prepare_connection,
+)
+from chivescale.relay._read_barrier import (
+    ReadBarriers,
+    no_primary_failure,
+    suspect_on_timeout,
+)
+from chivescale.relay._release import ConnectionReleaser
+from chivescale.relay._request import Outcome, StatementRequest, failure_from
 from chivescale.relay._transaction import Transaction
-from chivescale.relay._work import Outcome, Work, refusal_of
 
-# Endpoints that one statement is offered to.
+# Maximum number of endpoints tried for one statement.
 MAX_ATTEMPTS = 4
-# A read is offered to a second endpoint after this time plus a multiple of
-# the latency expected of the first one.
-HEDGE_S = 0.08
-HEDGE_FACTOR = 3.0
-# Begins and replays take no slot of the endpoint, so they are answered even
-# under load; an endpoint that does not is suspected.
+# A read is sent to a second endpoint after this time plus a multiple of the
+# expected latency of the first one.
+HEDGE_DELAY_S = 0.08
+HEDGE_LATENCY_FACTOR = 3.0
+# Begins and the replay of session state occupy no slot of the endpoint, so
+# they are answered even under load. An endpoint that does not is suspected.
 PREPARE_TIMEOUT_S = 0.4
 
-# An endpoint whose slots and queue are full has room again after about the
-# run time of one statement, 5 to 30 ms.
-BUSY_PAUSE_S = 0.02
-# The pause doubles this often, so that waiting statements do not flood an
-# endpoint that stays full.
-BUSY_DOUBLINGS = 3
-# A full queue of 16 to 24 statements before 2 or 3 slots takes this long, so
-# other endpoints are cheaper meanwhile.
-FULL_QUEUE_S = 0.15
+# An endpoint with a full queue accepts statements again after about the run
+# time of one statement, 5 to 30 ms.
+BUSY_BACKOFF_S = 0.02
+# Limits the exponential backoff that keeps waiting statements from flooding
+# an endpoint whose queue stays full.
+MAX_BACKOFF_DOUBLINGS = 3
+# Latency recorded for an endpoint with a full queue, so that other endpoints
+# are preferred: 2 or 3 slots take this long for 16 to 24 queued statements.
+FULL_QUEUE_LATENCY_S = 0.15
 
 
 class Executor:
-    """Runs statements; the sessions of a host share it.
+    """Executes statements; shared by all sessions of a host.
 
     Parameters
     ----------
-    service_of : callable
+    get_service : callable
         ``(name) -> Service``.
     """
 
-    def __init__(self, service_of: collections.abc.Callable[[str], Service]):
-        self.service_of = service_of
-        self.offers = Offers()
-        self.returns = Returns()
-        self.proofs = Proofs(self.returns)
+    def __init__(self, get_service: collections.abc.Callable[[str], Service]):
+        self.get_service = get_service
+        self.hedged_reads = HedgedReads()
+        self.releaser = ConnectionReleaser()
+        self.read_barriers = ReadBarriers(self.releaser)
 
     # Single statements.
 
-    async def run_single(self, work: Work) -> Outcome:
+    async def run_single(self, request: StatementRequest) -> Outcome:
         """Run a statement outside a transaction."""
-        service = self.service_of(work.route.service)
-        if work.writes:
-            return await self._write(service, work)
-        if work.route.consistency is Consistency.PRIMARY:
-            return await self._read_on_primary(service, work)
-        return await self._read(service, work)
-
-    async def _write(self, service: Service, work: Work) -> Outcome:
+        service = self.get_service(request.route.service)
+        if request.writes:
+            return await self._write(service, request)
+        if request.route.consistency is Consistency.PRIMARY:
+            return await self._read_on_primary(service, request)
+        return await self._read(service, request)
+
+    async def _write(
+        self, service: Service, request: StatementRequest
+    ) -> Outcome:
         failure = None
-        for endpoint in service.primaries(now())[:MAX_ATTEMPTS]:
+        for endpoint in service.primary_candidates(now())[:MAX_ATTEMPTS]:
             if not service.admits(endpoint):
-                return queue_refusal(endpoint.beat.endpoint)
-            link = await self._acquire(endpoint, work)
-            if is_failure(link):
-                failure = link
+                return queue_delay_failure(endpoint.beat.endpoint)
+            connection = await self._acquire(endpoint, request)
+            if is_failure(connection):
+                failure = connection
                 continue
             sent_at = now()
-            outcome = await self._run(endpoint, link, work)
-            self.returns.release(endpoint, link)
+            outcome = await self._run(endpoint, connection, request)
+            self.releaser.release(endpoint, connection)
             if not is_failure(outcome):
-                service.note_lead(endpoint, outcome.position, sent_at)
-                work.session.note_commit(service.name, outcome.position)
+                service.record_primary(endpoint, outcome.position, sent_at)
+                request.session.record_commit(service.name, outcome.position)
                 return outcome
-            if outcome.kind not in NOT_RUN:
-                return write_failure(outcome)
+            if outcome.kind not in NOT_EXECUTED:
+                return as_write_failure(outcome)
             failure = outcome
             if outcome.kind is not ErrorKind.ENDPOINT_READ_ONLY:
                 break
-            service.note_refusal(endpoint)
-        return failure or no_primary(service)
+            service.record_not_primary(endpoint)
+        return failure or no_primary_failure(service)
 
-    async def _read_on_primary(self, service: Service, work: Work) -> Outcome:
-        """Run a read inside an own transaction on the primary.
+    async def _read_on_primary(
+        self, service: Service, request: StatementRequest
+    ) -> Outcome:
+        """Run a read in a read-write transaction on the primary.
 
-        Only a primary begins such a transaction, and it refuses further
-        statements once it has lost the lead. So the read never runs on a
-        log that another primary has already continued.
+        Only a primary can begin such a transaction, and it rejects further
+        statements after it was replaced. The read therefore never sees a
+        stale log that a newer primary has already extended.
         """
         failure = None
-        others = waits = 0
-        while others < MAX_ATTEMPTS and not work.expired():
-            endpoints = service.primaries(now())
+        other_failures = slot_waits = 0
+        while other_failures < MAX_ATTEMPTS and not request.expired():
+            endpoints = service.primary_candidates(now())
             if not endpoints:
                 break
             endpoint = endpoints[0]
-            if not work.attempts and not service.admits(endpoint):
-                return queue_refusal(endpoint.beat.endpoint)
-            work.attempts += 1
-            link = await self._begin(service, endpoint, work, True, None)
-            if is_failure(link):
-                failure = link
-                if link.kind is ErrorKind.ENDPOINT_READ_ONLY:
-                    others += 1
+            if not request.attempts and not service.admits(endpoint):
+                return queue_delay_failure(endpoint.beat.endpoint)
+            request.attempts += 1
+            connection = await self._acquire_and_begin(
+                service, endpoint, request, True, None
+            )
+            if is_failure(connection):
+                failure = connection
+                if connection.kind is ErrorKind.ENDPOINT_READ_ONLY:
+                    other_failures += 1
                     continue
                 break
-            outcome = await self._run(endpoint, link, work)
-            self.returns.roll_back(endpoint, link)
+            outcome = await self._run(endpoint, connection, request)
+            self.releaser.roll_back(endpoint, connection)
             if not is_failure(outcome):
                 return outcome
             failure = outcome
             if outcome.kind is not ErrorKind.OVERLOADED:
-                others += 1
+                other_failures += 1
             if outcome.kind is ErrorKind.ENDPOINT_READ_ONLY:
-                service.note_refusal(endpoint)
+                service.record_not_primary(endpoint)
             elif outcome.kind is ErrorKind.OVERLOADED:
-                if not await wait_for_slot(work, waits):
+                if not await wait_for_slot(request, slot_waits):
                     return outcome
-                waits += 1
+                slot_waits += 1
             elif outcome.kind is not ErrorKind.READ_INTERRUPTED:
-                # A lost answer is asked for again over another link.
+                # After READ_INTERRUPTED the read is retried on another
+                # connection; other failures are final.
                 return outcome
-        return failure or no_primary(service)
+        return failure or no_primary_failure(service)
 
-    async def _read(self, service: Service, work: Work) -> Outcome:
-        need = await self.proofs.required(
-            service, work.route, work.arrived_at, work
+    async def _read(
+        self, service: Service, request: StatementRequest
+    ) -> Outcome:
+        min_position = await self.read_barriers.required_position(
+            service, request.route, request.arrived_at, request
         )
-        if is_failure(need):
-            return await self._read_unproved(service, work, need)
-        self.offers.retries.record_request()
-        outcome = await self._read_anywhere(service, work, need)
+        if is_failure(min_position):
+            return await self._read_without_barrier(
+                service, request, min_position
+            )
+        self.hedged_reads.hedge_budget.record_request()
+        outcome = await self._read_hedged(service, request, min_position)
         failure = outcome if is_failure(outcome) else None
-        if failure is None or not may_repeat_read(failure):
+        if failure is None or not is_retryable_read(failure):
             return outcome
         if failure is not None and failure.kind in (
             ErrorKind.ENDPOINT_BEHIND,
             ErrorKind.READ_INTERRUPTED,
         ):
-            return await self._read_on_primary(service, work)
+            return await self._read_on_primary(service, request)
         return failure
 
-    async def _read_unproved(
-        self, service: Service, work: Work, cause: Failure
+    async def _read_without_barrier(
+        self, service: Service, request: StatementRequest, cause: Failure
     ) -> Outcome:
-        """Read on the primary, which needs no proof of its age."""
-        outcome = await self._read_on_primary(service, work)
-        if is_failure(outcome) and outcome.kind in NOT_RUN | {
+        """Read on the primary when no recent position is confirmed."""
+        outcome = await self._read_on_primary(service, request)
+        if is_failure(outcome) and outcome.kind in NOT_EXECUTED | {
             ErrorKind.NO_PRIMARY
         }:
-            work.proof_age_s = service.sample.age_s(work.arrived_at)
+            request.proof_age_s = service.confirmed.age_s(request.arrived_at)
             reason = f"{cause.reason}; primary: {outcome.reason}"
             return Failure(ErrorKind.FRESHNESS_UNPROVED, reason)
         return outcome
 
-    async def _read_anywhere(
-        self, service: Service, work: Work, need: Position
+    async def _read_hedged(
+        self,
+        service: Service,
+        request: StatementRequest,
+        min_position: Position,
     ) -> Outcome:
-        """Offer a read to one endpoint after the other.
+        """Run a read on any suitable endpoint, with retries and hedging.
 
-        One that takes much longer than usual is not waited for alone: a
-        second endpoint gets the read too, within the retry budget.
+        If the first endpoint takes much longer than expected, the read is
+        also sent to a second one, within the hedging budget.
         """
         excluded: set[str] = set()
         rounds = 0
 
-        def choose() -> Endpoint | None:
-            if len(excluded) >= MAX_ATTEMPTS or work.expired():
+        def next_candidate() -> Endpoint | None:
+            if len(excluded) >= MAX_ATTEMPTS or request.expired():
                 return None
-            endpoints = service.readers(need, excluded, now())
+            endpoints = service.read_candidates(min_position, excluded, now())
             return endpoints[0] if endpoints else None
 
-        def offer(endpoint: Endpoint):
+        def start_attempt(endpoint: Endpoint):
             excluded.add(endpoint.beat.endpoint)
             if not service.admits(endpoint):
-                return queue_refusal(endpoint.beat.endpoint)
-            work.attempts += 1
-            usual_s = endpoint.expected_latency_s(now())
-            wait_s = HEDGE_S + HEDGE_FACTOR * usual_s
-            return self._read_once(endpoint, work, need), wait_s
+                return queue_delay_failure(endpoint.beat.endpoint)
+            request.attempts += 1
+            expected_s = endpoint.expected_latency_s(now())
+            delay_s = HEDGE_DELAY_S + HEDGE_LATENCY_FACTOR * expected_s
+            return self._read_once(endpoint, request, min_position), delay_s
 
-        async def exhausted(failure: Failure) -> Failure | None:
+        async def on_exhausted(failure: Failure) -> Failure | None:
             nonlocal rounds
-            full = work.attempts and failure.kind is ErrorKind.OVERLOADED
-            if full and await wait_for_slot(work, rounds):
+            busy = request.attempts and failure.kind is ErrorKind.OVERLOADED
+            if busy and await wait_for_slot(request, rounds):
                 rounds += 1
                 excluded.clear()
                 return None
-            return work.expired() or failure
-
-        return await self.offers.first_answer(
-            choose,
-            offer,
-            may_repeat_read,
-            exhausted,
-            no_endpoint(service.name),
+            return request.expired() or failure
+
+        return await self.hedged_reads.first_result(
+            next_candidate,
+            start_attempt,
+            is_retryable_read,
+            on_exhausted,
+            no_endpoint_failure(service.name),
         )
 
     async def _read_once(
-        self, endpoint: Endpoint, work: Work, need: Position
+        self,
+        endpoint: Endpoint,
+        request: StatementRequest,
+        min_position: Position,
     ) -> Outcome:
-        link = await self._acquire(endpoint, work)
-        if is_failure(link):
-            return link
-        outcome = await self._run(endpoint, link, work, after=need)
-        self.returns.release(endpoint, link)
+        connection = await self._acquire(endpoint, request)
+        if is_failure(connection):
+            return connection
+        outcome = await self._run(
+            endpoint, connection, request, after=min_position
+        )
+        self.releaser.release(endpoint, connection)
         if is_failure(outcome) and outcome.kind is ErrorKind.ENDPOINT_BEHIND:
-            endpoint.behind_until = now() + BEHIND_S
+            endpoint.lagging_until = now() + LAG_BACKOFF_S
         return outcome
 
     # Transactions.
 
     async def run_in_transaction(
-        self, transaction: Transaction, work: Work
+        self, transaction: Transaction, request: StatementRequest
     ) -> Outcome:
         """Run a statement of an open transaction."""
-        if transaction.link is None:
-            failure = await self._start(transaction, work)
+        if transaction.connection is None:
+            failure = await self._begin_transaction(transaction, request)
             if failure is not None:
                 return failure
-        endpoint, link = transaction.endpoint, transaction.link
-        transaction.wrote = transaction.wrote or work.writes
+        endpoint, connection = transaction.endpoint, transaction.connection
+        transaction.wrote = transaction.wrote or request.writes
         sent_at = now()
-        outcome = await self._run(endpoint, link, work)
+        outcome = await self._run(endpoint, connection, request)
         if not is_failure(outcome):
-            if transaction.leads:
-                transaction.service.note_lead(
+            if transaction.on_primary:
+                transaction.service.record_primary(
                     endpoint, outcome.position, sent_at
                 )
             return outcome
-        if outcome.kind is ErrorKind.ENDPOINT_READ_ONLY and transaction.leads:
-            transaction.service.note_refusal(endpoint)
+        if (
+            outcome.kind is ErrorKind.ENDPOINT_READ_ONLY
+            and transaction.on_primary
+        ):
+            transaction.service.record_not_primary(endpoint)
         self.abandon(transaction)
-        return aborted(outcome)
+        return as_aborted(outcome)
 
-    async def _start(
-        self, transaction: Transaction, work: Work
+    async def _begin_transaction(
+        self, transaction: Transaction, request: StatementRequest
     ) -> Failure | None:
-        """Begin a transaction on an endpoint that its route allows."""
+        """Begin a transaction on an endpoint permitted by its route."""
         route = transaction.route
-        service = self.service_of(route.service)
-        leads = (
+        service = self.get_service(route.service)
+        on_primary = (
             not transaction.read_only
             or route.consistency is Consistency.PRIMARY
         )
-        need = None
-        if not leads:
-            need = await self.proofs.required(
-                service, route, transaction.arrived_at, work
+        min_position = None
+        if not on_primary:
+            min_position = await self.read_barriers.required_position(
+                service, route, transaction.arrived_at, request
             )
-            leads = is_failure(need)
+            on_primary = is_failure(min_position)
         failure = None
         excluded: set[str] = set()
-        while work.attempts < MAX_ATTEMPTS and not work.expired():
-            if leads:
-                endpoints = service.primaries(now())
+        while request.attempts < MAX_ATTEMPTS and not request.expired():
+            if on_primary:
+                endpoints = service.primary_candidates(now())
                 endpoints = [
                     e for e in endpoints if e.beat.endpoint not in excluded
                 ]
             else:
-                endpoints = service.readers(need, excluded, now())
+                endpoints = service.read_candidates(
+                    min_position, excluded, now()
+                )
             if not endpoints:
                 break
             endpoint = endpoints[0]
             excluded.add(endpoint.beat.endpoint)
             if not service.admits(endpoint):
-                failure = queue_refusal(endpoint.beat.endpoint)
+                failure = queue_delay_failure(endpoint.beat.endpoint)
                 continue
-            work.attempts += 1
-            link = await self._begin(
-                service, endpoint, work, leads, None if leads else need
+            request.attempts += 1
+            connection = await self._acquire_and_begin(
+                service,
+                endpoint,
+                request,
+                on_primary,
+                None if on_primary else min_position,
             )
-            if not is_failure(link):
-                transaction.attach(service, endpoint, link, leads)
+            if not is_failure(connection):
+                transaction.attach(service, endpoint, connection, on_primary)
                 return None
-            failure = link
-        if failure is not None and not leads:
+            failure = connection
+        if failure is not None and not on_primary:
             if failure.kind is ErrorKind.ENDPOINT_BEHIND:
-                return await self._start_on_primary(transaction, work, service)
-        return failure or no_endpoint(service.name)
+                return await self._begin_on_primary(
+                    transaction, request, service
+                )
+        return failure or no_endpoint_failure(service.name)
 
-    async def _start_on_primary(
-        self, transaction: Transaction, work: Work, service: Service
+    async def _begin_on_primary(
+        self,
+        transaction: Transaction,
+        request: StatementRequest,
+        service: Service,
     ) -> Failure | None:
         failure = None
-        for endpoint in service.primaries(now())[:MAX_ATTEMPTS]:
-            link = await self._begin(service, endpoint, work, True, None)
-            if not is_failure(link):
-                transaction.attach(service, endpoint, link, leads=True)
+        for endpoint in service.primary_candidates(now())[:MAX_ATTEMPTS]:
+            connection = await self._acquire_and_begin(
+                service, endpoint, request, True, None
+            )
+            if not is_failure(connection):
+                transaction.attach(
+                    service, endpoint, connection, on_primary=True
+                )
                 return None
-            failure = link
-        return failure or no_primary(service)
+            failure = connection
+        return failure or no_primary_failure(service)
 
-    async def commit(self, transaction: Transaction, work: Work) -> Outcome:
+    async def commit(
+        self, transaction: Transaction, request: StatementRequest
+    ) -> Outcome:
         """Commit an open transaction."""
-        if transaction.link is None:
-            failure = await self._start(transaction, work)
+        if transaction.connection is None:
+            failure = await self._begin_transaction(transaction, request)
             if failure is not None:
-                return aborted(failure)
-        endpoint, link = transaction.endpoint, transaction.link
+                return as_aborted(failure)
+        endpoint, connection = transaction.endpoint, transaction.connection
         sent_at = now()
-        outcome = await self._run(endpoint, link, work)
-        transaction.link = None
-        self.returns.release(endpoint, link)
+        outcome = await self._run(endpoint, connection, request)
+        transaction.connection = None
+        self.releaser.release(endpoint, connection)
         if not is_failure(outcome):
             if transaction.wrote:
                 service = transaction.service
-                service.note_lead(endpoint, outcome.position, sent_at)
-                work.session.note_commit(service.name, outcome.position)
+                service.record_primary(endpoint, outcome.position, sent_at)
+                request.session.record_commit(service.name, outcome.position)
             return outcome
         if not transaction.wrote:
-            return aborted(outcome)
-        return write_failure(outcome)
+            return as_aborted(outcome)
+        return as_write_failure(outcome)
 
     def abandon(self, transaction: Transaction) -> None:
-        """Roll back a transaction without waiting for it."""
+        """Start the rollback of a transaction without waiting for it."""
         transaction.stop_timer()
         transaction.failed = True
-        link, transaction.link = transaction.link, None
-        if link is not None:
-            self.returns.roll_back(transaction.endpoint, link)
+        connection, transaction.connection = transaction.connection, None
+        if connection is not None:
+            self.releaser.roll_back(transaction.endpoint, connection)
 
-    # Links.
+    # Connections.
 
-    async def _acquire(self, endpoint: Endpoint, work: Work) -> Link | Failure:
-        session = work.session
+    async def _acquire(
+        self, endpoint: Endpoint, request: StatementRequest
+    ) -> Link | Failure:
+        session = request.session
         return await endpoint.pool.acquire(
-            work.route.priority,
-            work.link_wait_s(now()),
+            request.route.priority,
+            request.connection_wait_s(now()),
             session.values,
             session,
         )
 
-    async def _begin(
+    async def _acquire_and_begin(
         self,
         service: Service,
         endpoint: Endpoint,
-        work: Work,
-        leads: bool,
+        request: StatementRequest,
+        on_primary: bool,
         after: Position | None,
     ) -> Link | Failure:
-        """Return a link inside a transaction that was just begun."""
-        link = await self._acquire(endpoint, work)
-        if is_failure(link):
-            return link
-        begin = link.dialect.begin_text(not leads, after)
-        need = Need(work.session.values, work.definition, begin)
+        """Return a connection on which a transaction was begun."""
+        connection = await self._acquire(endpoint, request)
+        if is_failure(connection):
+            return connection
+        begin = connection.dialect.begin_text(not on_primary, after)
+        required = RequiredState(
+            request.session.values, request.definition, begin
+        )
         sent_at = now()
-        begun = await prepare_link(link, need, PREPARE_TIMEOUT_S)
-        link.last_session = work.session
+        begun = await prepare_connection(
+            connection, required, PREPARE_TIMEOUT_S
+        )
+        connection.last_session = request.session
         if not is_failure(begun):
-            if leads:
-                service.note_lead(endpoint, begun.position, sent_at)
-            return link
+            if on_primary:
+                service.record_primary(endpoint, begun.position, sent_at)
+            return connection
         failure = begun
-        note_silence(endpoint, failure)
-        self.returns.release(endpoint, link)
+        suspect_on_timeout(endpoint, failure)
+        self.releaser.release(endpoint, connection)
         if failure.kind is ErrorKind.ENDPOINT_READ_ONLY:
-            service.note_refusal(endpoint)
+            service.record_not_primary(endpoint)
         elif failure.kind is ErrorKind.ENDPOINT_BEHIND:
-            endpoint.behind_until = now() + BEHIND_S
-        return not_started(failure)
+            endpoint.lagging_until = now() + LAG_BACKOFF_S
+        return as_not_sent(failure)
 
     async def _run(
         self,
         endpoint: Endpoint,
-        link: Link,
-        work: Work,
+        connection: Link,
+        request: StatementRequest,
         after: Position | None = None,
     ) -> Outcome:
-        """Run the caller's statement on a link."""
-        session = work.session
-        need = Need(session.values, work.definition)
-        failure = await prepare_link(link, need, PREPARE_TIMEOUT_S)
+        """Run the client's statement on a connection."""
+        session = request.session
+        required = RequiredState(session.values, request.definition)
+        failure = await prepare_connection(
+            connection, required, PREPARE_TIMEOUT_S
+        )
         if is_failure(failure):
-            note_silence(endpoint, failure)
-            return not_started(failure)
-        link.last_session = session
-        text = forwarded_text(link, work.statement, work.definition)
+            suspect_on_timeout(endpoint, failure)
+            return as_not_sent(failure)
+        connection.last_session = session
+        text = forwarded_text(
+            connection, request.statement, request.definition
+        )
         if after is not None:
-            text = link.dialect.after_text(after, text)
-        if work.expired():
-            return work.expired()
+            text = connection.dialect.after_text(after, text)
+        if request.expired():
+            return request.expired()
         started = now()
-        work.endpoint = endpoint.beat.endpoint
-        running = Running(started, link, work.revocable)
+        request.endpoint = endpoint.beat.endpoint
+        running = InFlightStatement(started, connection, request.abortable)
         endpoint.running[running] = None
         try:
-            reply = await self._send(endpoint, link, work, text)
+            reply = await self._send(endpoint, connection, request, text)
         finally:
             del endpoint.running[running]
         if is_failure(reply):
             if reply.kind is ErrorKind.TIMEOUT:
-                # Unused links from before may have gone silent with it.
-                endpoint.pool.drop_idle()
+                # Idle connections of the same age may be dead as well.
+                endpoint.pool.close_idle()
             return reply
-        return refusal_of(reply) or reply
+        return failure_from(reply) or reply
 
     async def _send(
-        self, endpoint: Endpoint, link: Link, work: Work, text: str
+        self,
+        endpoint: Endpoint,
+        connection: Link,
+        request: StatementRequest,
+        text: str,
     ) -> Reply | Failure:
-        """Send a statement; offer it again while the endpoint is full.
+        """Send a statement and retry while the queue of the endpoint is full.
 
-        A read outside a transaction is offered to another endpoint instead.
+        A read outside a transaction is not retried here; the caller sends it
+        to another endpoint instead.
         """
         for attempt in itertools.count():
             started = now()
-            reply = await link.statement(
-                text, work.left_s(started), work.statement.request_id
+            reply = await connection.statement(
+                text,
+                request.remaining_s(started),
+                request.statement.request_id,
             )
             if is_failure(reply):
                 return reply
             time = now()
-            refusal = refusal_of(reply)
-            full = refusal is not None and refusal.kind is ErrorKind.OVERLOADED
-            took_s = (
-                max(FULL_QUEUE_S, time - started) if full else (time - started)
+            refusal = failure_from(reply)
+            busy = refusal is not None and refusal.kind is ErrorKind.OVERLOADED
+            latency_s = (
+                max(FULL_QUEUE_LATENCY_S, time - started)
+                if busy
+                else (time - started)
+            )
+            endpoint.record_response(reply.position, latency_s, time)
+            transaction_intact = reply.state is not TransactionState.FAILED
+            retries_here = (
+                request.writes or request.session.transaction is not None
             )
-            endpoint.note_answer(reply.position, took_s, time)
-            kept = reply.state is not TransactionState.FAILED
-            waits = work.writes or work.session.transaction is not None
-            again = full and kept and waits
-            if not (again and await wait_for_slot(work, attempt)):
+            retryable = busy and transaction_intact and retries_here
+            if not (retryable and await wait_for_slot(request, attempt)):
                 return reply
 
 
-async def wait_for_slot(work: Work, attempt: int) -> bool:
-    """Wait before another attempt; False if it would come too late.
+async def wait_for_slot(request: StatementRequest, attempt: int) -> bool:
+    """Wait before another attempt; return False if too little time is left.
 
-    A statement of a transaction has the whole latency goal, since giving up
-    wastes what the endpoint has done for the transaction so far. Beyond it,
-    the caller is better served by a refusal that lets it begin again.
+    A statement of a transaction may wait for the whole latency goal, because
+    giving up wastes the work already done for the transaction. After that, an
+    error is better for the client, which can then restart the transaction.
     """
-    scale = BUSY_PAUSE_S * 2 ** min(attempt, BUSY_DOUBLINGS)
-    pause_s = scale * random.uniform(0.5, 1.5)
+    backoff_s = BUSY_BACKOFF_S * 2 ** min(attempt, MAX_BACKOFF_DOUBLINGS)
+    pause_s = backoff_s * random.uniform(0.5, 1.5)
     time = now()
-    begun = work.session.transaction is not None and work.endpoint
-    left_s = work.goal_left_s(time) if begun else work.link_wait_s(time)
-    if pause_s >= left_s:
+    begun = request.session.transaction is not None and request.endpoint
+    remaining_s = (
+        request.goal_remaining_s(time)
+        if begun
+        else request.connection_wait_s(time)
+    )
+    if pause_s >= remaining_s:
         return False
     await asyncio.sleep(pause_s)
     return True
--- a/chivescale/relay/_forwarder.py
+++ b/chivescale/relay/_forwarder.py
@@ -1,4 +1,4 @@
-"""Sends statements to the endpoints, from here or through a gateway."""
+"""Routes statements to the local executor or to a gateway."""
 
 import collections.abc
 import random
@@ -6,30 +6,34 @@
 from chivescale.clock import now
 from chivescale.dialect import Reply
 from chivescale.errors import ErrorKind, Failure, is_failure
-from chivescale.gateway import Answer, Peer, Run
+from chivescale.gateway import GatewayClient, RunRequest, RunResponse
 from chivescale.messages import EntryHostRecord
 from chivescale.relay._executor import Executor
-from chivescale.relay._offers import Offers
-from chivescale.relay._outcomes import aborted, write_failure
+from chivescale.relay._hedging import HedgedReads
+from chivescale.relay._outcomes import as_aborted, as_write_failure
+from chivescale.relay._request import (
+    MIN_ATTEMPT_TIME_S,
+    Outcome,
+    StatementRequest,
+)
 from chivescale.relay._transaction import Transaction
-from chivescale.relay._work import MIN_ATTEMPT_S, Outcome, Work
 from chivescale.telemetry import log_event
 
-# Gateways that one statement is offered to.
+# Maximum number of gateways tried for one statement.
 MAX_GATEWAYS = 3
-# A gateway ends a statement at its time limit itself; its answer needs this
-# long at most to arrive.
-ANSWER_SLACK_S = 0.1
-# A read without an answer for this long is offered to a second gateway. It
-# is above the usual latency of a read with a lost answer at its endpoint,
-# which the gateway handles itself.
-HEDGE_S = 0.35
-# A gateway of another zone is chosen over one of the own zone with this many
-# more statements waiting.
-OTHER_ZONE_WAITING = 6
-
-# Answers of a gateway after which another one may be asked.
-ASK_ANOTHER = frozenset(
+# Gateways enforce the time limit of a statement themselves; this is the time
+# allowed for the response to arrive after that.
+RESPONSE_MARGIN_S = 0.1
+# A read without a response after this time is also sent to a second gateway.
+# The delay exceeds the usual latency of a read whose reply the endpoint did
+# not deliver, because the gateway itself retries such a read.
+HEDGE_DELAY_S = 0.35
+# A gateway in another zone is chosen only if a local one has at least about
+# this many more statements running or queued.
+CROSS_ZONE_LOAD_PENALTY = 6
+
+# Failures of a gateway after which another gateway may be tried.
+RETRYABLE_KINDS = frozenset(
     {
         ErrorKind.ENDPOINT_FULL,
         ErrorKind.SHUTTING_DOWN,
@@ -39,58 +43,62 @@
 
 
 class Forwarder:
-    """Executor that knows which host is connected to which service.
+    """Executes statements locally or on the gateways of a service.
 
     Parameters
     ----------
     name, zone : str
-        Of this host.
-    local : Executor
-        Runs statements over the links of this host.
+        Name and availability zone of this host.
+    local_executor : Executor
+        Executes statements on the connections of this host.
     rng : random.Random
-        Source of random choices.
+        Source of randomness.
 
     Attributes
     ----------
     gateways : dict of str to frozenset of str
-        Hosts that are connected to each service.
-    peers : dict of str to Peer
-        Other hosts by name.
-    former : list of Peer
-        Gateways that have left and are still connected.
+        Names of the hosts connected to the endpoints of each service.
+    peers : dict of str to GatewayClient
+        Clients of other hosts by name.
+    departed : list of GatewayClient
+        Clients of removed gateways whose connections are still open.
     """
 
     def __init__(
-        self, name: str, zone: str, local: Executor, rng: random.Random
+        self,
+        name: str,
+        zone: str,
+        local_executor: Executor,
+        rng: random.Random,
     ):
         self.name = name
         self.zone = zone
-        self.local = local
+        self.local_executor = local_executor
         self.rng = rng
         self.gateways: dict[str, frozenset[str]] = {}
-        self.peers: dict[str, Peer] = {}
-        self.former: list[Peer] = []
-        self.offers = Offers()
+        self.peers: dict[str, GatewayClient] = {}
+        self.departed: list[GatewayClient] = []
+        self.hedged_reads = HedgedReads()
 
     def update(
         self,
         hosts: collections.abc.Iterable[EntryHostRecord],
         gateways: dict[str, frozenset[str]],
     ) -> None:
-        """Take over which hosts there are and what they are connected to."""
+        """Apply a new list of hosts and assignment of gateways."""
         records = {host.name: host for host in hosts}
         for name, peer in list(self.peers.items()):
             record = records.get(name)
             if record is None or record.address != peer.address:
-                # Its open transactions go on until it closes.
+                # Open transactions continue until the gateway disconnects.
                 peer.leaving = True
                 if peer.channel is None:
                     peer.close()
-                self.former.append(self.peers.pop(name))
+                self.departed.append(self.peers.pop(name))
         wanted = frozenset().union(*gateways.values()) - {self.name}
         for name in sorted(wanted - self.peers.keys()):
             record = records[name]
-            self.peers[name] = Peer(
+            self.peers[name] = GatewayClient(
                 self.name, name, record.zone, record.address
             )
         if gateways != self.gateways:
@@ -107,17 +115,19 @@
             )
 
     def serves(self, service: str) -> bool:
-        """Tell whether this host connects to the endpoints itself."""
+        """Return whether this host connects to the endpoints directly."""
         names = self.gateways.get(service)
         return not names or self.name in names
 
-    def choose(self, service: str, excluded: set[str]) -> Peer | None:
-        """Return the gateway with the least waiting, near ones first."""
+    def choose_gateway(
+        self, service: str, excluded: set[str]
+    ) -> GatewayClient | None:
+        """Return the least loaded gateway, preferring the own zone."""
         time = now()
         costs = [
             (
                 peer.load(time)
-                + (0 if peer.zone == self.zone else OTHER_ZONE_WAITING)
+                + (0 if peer.zone == self.zone else CROSS_ZONE_LOAD_PENALTY)
                 + self.rng.random(),
                 name,
                 peer,
@@ -129,138 +139,147 @@
         ]
         return min(costs)[2] if costs else None
 
-    async def reaches(self, service: str) -> bool:
-        """Tell whether the primary, or a gateway of a service, answers."""
+    async def can_reach(self, service: str) -> bool:
+        """Return whether the primary or a gateway of a service responds."""
         if self.serves(service):
-            failure = await self.local.proofs.barrier(
-                self.local.service_of(service)
+            failure = await self.local_executor.read_barriers.confirm_position(
+                self.local_executor.get_service(service)
             )
             return failure is None
         excluded: set[str] = set()
-        while (peer := self.choose(service, excluded)) is not None:
-            if await peer.reachable() or len(excluded) >= MAX_GATEWAYS:
+        while (peer := self.choose_gateway(service, excluded)) is not None:
+            if await peer.ensure_connected() or len(excluded) >= MAX_GATEWAYS:
                 return peer.channel is not None
             excluded.add(peer.name)
         return False
 
-    def check_silence(self, time: float) -> None:
-        """Check gateways whose answers are late."""
-        self.former = [p for p in self.former if p.channel is not None]
-        for peer in (*self.peers.values(), *self.former):
-            peer.check_silence(time)
+    def check_timeouts(self, time: float) -> None:
+        """Check the connections of gateways with overdue responses."""
+        self.departed = [p for p in self.departed if p.channel is not None]
+        for peer in (*self.peers.values(), *self.departed):
+            peer.check_timeouts(time)
 
     def close(self) -> None:
         """Close the connections to gateways."""
-        for peer in (*self.peers.values(), *self.former):
+        for peer in (*self.peers.values(), *self.departed):
             peer.close()
 
     # Statements.
 
-    async def run_single(self, work: Work) -> Outcome:
+    async def run_single(self, request: StatementRequest) -> Outcome:
         """Run a statement outside a transaction."""
-        service = work.route.service
+        service = request.route.service
         if self.serves(service):
-            return await self.local.run_single(work)
-        if work.writes:
-            return await self._write(service, work)
-        return await self._read(service, work)
+            return await self.local_executor.run_single(request)
+        if request.writes:
+            return await self._write(service, request)
+        return await self._read(service, request)
 
-    async def _write(self, service: str, work: Work) -> Outcome:
+    async def _write(self, service: str, request: StatementRequest) -> Outcome:
         excluded: set[str] = set()
-        failure = _no_gateway(service)
-        while len(excluded) < MAX_GATEWAYS and not work.expired():
-            peer = self.choose(service, excluded)
+        failure = _no_gateway_failure(service)
+        while len(excluded) < MAX_GATEWAYS and not request.expired():
+            peer = self.choose_gateway(service, excluded)
             if peer is None:
                 break
             excluded.add(peer.name)
-            outcome = await self._ask(peer, work, None)
+            outcome = await self._forward(peer, request, None)
             if not is_failure(outcome):
                 return outcome
-            if outcome.kind not in ASK_ANOTHER:
-                return write_failure(outcome)
+            if outcome.kind not in RETRYABLE_KINDS:
+                return as_write_failure(outcome)
             failure = outcome
         return failure
 
-    async def _read(self, service: str, work: Work) -> Outcome:
-        """Offer a read to one gateway after the other.
-
-        One that does not answer for long is not waited for alone.
-        """
-        self.offers.retries.record_request()
+    async def _read(self, service: str, request: StatementRequest) -> Outcome:
+        """Run a read on a gateway, with retries and hedging."""
+        self.hedged_reads.hedge_budget.record_request()
         excluded: set[str] = set()
 
-        def choose() -> Peer | None:
-            if len(excluded) >= MAX_GATEWAYS or work.expired():
+        def next_candidate() -> GatewayClient | None:
+            if len(excluded) >= MAX_GATEWAYS or request.expired():
                 return None
-            return self.choose(service, excluded)
+            return self.choose_gateway(service, excluded)
 
-        def offer(peer: Peer):
+        def start_attempt(peer: GatewayClient):
             excluded.add(peer.name)
-            return self._ask(peer, work, None), HEDGE_S
+            return self._forward(peer, request, None), HEDGE_DELAY_S
 
-        async def exhausted(failure: Failure) -> Failure:
-            return work.expired() or failure
+        async def on_exhausted(failure: Failure) -> Failure:
+            return request.expired() or failure
 
-        return await self.offers.first_answer(
-            choose, offer, _may_ask_another, exhausted, _no_gateway(service)
+        return await self.hedged_reads.first_result(
+            next_candidate,
+            start_attempt,
+            _is_retryable,
+            on_exhausted,
+            _no_gateway_failure(service),
         )
 
     # Transactions.
 
     async def run_in_transaction(
-        self, transaction: Transaction, work: Work
+        self, transaction: Transaction, request: StatementRequest
     ) -> Outcome:
         """Run a statement of an open transaction."""
-        if transaction.peer is None and self._runs_here(transaction):
-            return await self.local.run_in_transaction(transaction, work)
-        transaction.wrote = transaction.wrote or work.writes
-        outcome = await self._run_remote(transaction, work)
+        if transaction.peer is None and self._runs_locally(transaction):
+            return await self.local_executor.run_in_transaction(
+                transaction, request
+            )
+        transaction.wrote = transaction.wrote or request.writes
+        outcome = await self._run_on_gateway(transaction, request)
         if is_failure(outcome):
             self.abandon(transaction)
-            return aborted(outcome)
+            return as_aborted(outcome)
         return outcome
 
-    async def commit(self, transaction: Transaction, work: Work) -> Outcome:
+    async def commit(
+        self, transaction: Transaction, request: StatementRequest
+    ) -> Outcome:
         """Commit an open transaction."""
-        if transaction.peer is None and self._runs_here(transaction):
-            return await self.local.commit(transaction, work)
-        outcome = await self._run_remote(transaction, work)
+        if transaction.peer is None and self._runs_locally(transaction):
+            return await self.local_executor.commit(transaction, request)
+        outcome = await self._run_on_gateway(transaction, request)
         transaction.peer = None
         if not is_failure(outcome):
             return outcome
         return (
-            write_failure(outcome) if transaction.wrote else (aborted(outcome))
+            as_write_failure(outcome)
+            if transaction.wrote
+            else (as_aborted(outcome))
         )
 
     def abandon(self, transaction: Transaction) -> None:
-        """Roll back a transaction without waiting for it."""
+        """Start the rollback of a transaction without waiting for it."""
         peer, transaction.peer = transaction.peer, None
         if peer is not None:
-            peer.roll_back(transaction.number)
-        self.local.abandon(transaction)
+            peer.roll_back(transaction.gateway_transaction_id)
+        self.local_executor.abandon(transaction)
 
-    def _runs_here(self, transaction: Transaction) -> bool:
-        return transaction.link is not None or self.serves(
+    def _runs_locally(self, transaction: Transaction) -> bool:
+        return transaction.connection is not None or self.serves(
             transaction.route.service
         )
 
-    async def _run_remote(
-        self, transaction: Transaction, work: Work
+    async def _run_on_gateway(
+        self, transaction: Transaction, request: StatementRequest
     ) -> Outcome:
         if transaction.peer is not None:
-            return await self._ask(transaction.peer, work, transaction)
+            return await self._forward(transaction.peer, request, transaction)
         service = transaction.route.service
         excluded: set[str] = set()
-        failure = _no_gateway(service)
-        while len(excluded) < MAX_GATEWAYS and not work.expired():
-            peer = self.choose(service, excluded)
+        failure = _no_gateway_failure(service)
+        while len(excluded) < MAX_GATEWAYS and not request.expired():
+            peer = self.choose_gateway(service, excluded)
             if peer is None:
                 break
             excluded.add(peer.name)
             transaction.peer = peer
-            transaction.number = peer.next_number()
-            outcome = await self._ask(peer, work, transaction, begins=True)
-            if not is_failure(outcome) or outcome.kind not in ASK_ANOTHER:
+            transaction.gateway_transaction_id = peer.next_number()
+            outcome = await self._forward(
+                peer, request, transaction, begins=True
+            )
+            if not is_failure(outcome) or outcome.kind not in RETRYABLE_KINDS:
                 return outcome
             transaction.peer = None
             failure = outcome
@@ -268,80 +287,91 @@
 
     # Calls.
 
-    async def _ask(
+    async def _forward(
         self,
-        peer: Peer,
-        work: Work,
+        peer: GatewayClient,
+        request: StatementRequest,
         transaction: Transaction | None,
         begins: bool = False,
     ) -> Outcome:
-        work.gateway = peer.name
+        request.gateway = peer.name
         time = now()
-        left_s = work.left_s(time)
-        if left_s < MIN_ATTEMPT_S:
-            return work.expired()
-        message = _message(peer.next_number(), work, transaction, begins)
-        answer = await peer.run(message, left_s + ANSWER_SLACK_S)
-        if is_failure(answer):
-            return answer
-        return _take_answer(work, answer)
-
-
-def _message(
-    number: int, work: Work, transaction: Transaction | None, begins: bool
-) -> Run:
-    statement, route, session = work.statement, work.route, work.session
+        remaining_s = request.remaining_s(time)
+        if remaining_s < MIN_ATTEMPT_TIME_S:
+            return request.expired()
+        message = _make_request(
+            peer.next_number(), request, transaction, begins
+        )
+        response = await peer.run(message, remaining_s + RESPONSE_MARGIN_S)
+        if is_failure(response):
+            return response
+        return _apply_response(request, response)
+
+
+def _make_request(
+    number: int,
+    request: StatementRequest,
+    transaction: Transaction | None,
+    begins: bool,
+) -> RunRequest:
+    statement, route, session = (
+        request.statement,
+        request.route,
+        request.session,
+    )
     time = now()
-    definition = work.definition
-    return Run(
+    definition = request.definition
+    return RunRequest(
         number=number,
         request_id=statement.request_id,
         kind=statement.kind,
         text=statement.text,
         name=statement.name,
         argument=statement.argument,
-        writes=work.writes,
+        writes=request.writes,
         service=route.service,
         consistency=str(route.consistency),
         statement_timeout_ms=route.statement_timeout_ms,
         latency_goal_ms=route.latency_goal_ms,
         priority=route.priority,
         accepted_staleness_ms=route.accepted_staleness_ms,
-        age_s=time - work.arrived_at,
+        age_s=time - request.arrived_at,
         values=session.values,
         definition=(
             (definition.writes, definition.text) if definition else None
         ),
-        own=session.positions.get(route.service),
-        transaction=transaction.number if transaction else 0,
+        session_position=session.positions.get(route.service),
+        transaction=transaction.gateway_transaction_id if transaction else 0,
         begins=begins,
         read_only=transaction.read_only if transaction else False,
         begun_age_s=time - transaction.arrived_at if transaction else 0.0,
     )
 
 
-def _take_answer(work: Work, answer: Answer) -> Outcome:
-    """Note what decided and return the outcome."""
-    work.attempts += answer.attempts
-    work.endpoint = answer.endpoint or work.endpoint
-    work.need = answer.need
-    work.proof_age_s = answer.proof_age_s
-    if answer.kind is not None:
-        return Failure(answer.kind, answer.reason)
-    if answer.commit is not None:
-        work.session.note_commit(work.route.service, answer.commit)
-    return Reply(answer.rows, answer.signature)
+def _apply_response(
+    request: StatementRequest, response: RunResponse
+) -> Outcome:
+    """Copy the execution details to the request and return the outcome."""
+    request.attempts += response.attempts
+    request.endpoint = response.endpoint or request.endpoint
+    request.min_position = response.min_position
+    request.proof_age_s = response.proof_age_s
+    if response.kind is not None:
+        return Failure(response.kind, response.reason)
+    if response.commit is not None:
+        request.session.record_commit(request.route.service, response.commit)
+    return Reply(response.rows, response.signature)
 
 
-def _may_ask_another(failure: Failure) -> bool:
-    """Tell whether a read may be offered to another gateway."""
+def _is_retryable(failure: Failure) -> bool:
+    """Return whether a read may be retried on another gateway."""
     return (
-        failure.kind in ASK_ANOTHER
+        failure.kind in RETRYABLE_KINDS
         or failure.kind is ErrorKind.READ_INTERRUPTED
     )
 
 
-def _no_gateway(service: str) -> Failure:
-    """Return the refusal while no gateway can be reached."""
-    reason = f"no gateway to {service} can be reached"
+def _no_gateway_failure(service: str) -> Failure:
+    """Return the failure if no gateway is reachable."""
+    reason = f"no reachable gateway for service {service}"
     return Failure(ErrorKind.OVERLOADED, reason)
--- a/chivescale/relay/_gateway.py
+++ b/chivescale/relay/_gateway.py
@@ -1,4 +1,4 @@
-"""Runs statements for other entry hosts."""
+"""Server side of statement forwarding between entry hosts."""
 
 import asyncio
 
@@ -10,91 +10,96 @@
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.gateway import (
     MAX_FRAME_BYTES,
-    Answer,
-    Bye,
+    GatewayRequest,
+    GoAway,
     Hello,
     Ping,
     Pong,
-    Rollback,
-    Run,
-    ToGateway,
+    RollbackRequest,
+    RunRequest,
+    RunResponse,
 )
 from chivescale.lines import LineChannel
 from chivescale.messages import Position, decode, encode
-from chivescale.relay._prepare import Definition
+from chivescale.relay._prepare import PreparedStatement
+from chivescale.relay._request import StatementRequest
 from chivescale.relay._transaction import Transaction
-from chivescale.relay._work import Work
 from chivescale.telemetry import log_event
 
-# The host that asked ends idle transactions itself. If it does not, because
-# it is frozen, the gateway does after this much longer.
-IDLE_MARGIN_S = 1.0
+# The forwarding host rolls back idle transactions itself. If it fails to,
+# for example because it is frozen, the gateway does after this extra time.
+IDLE_TIMEOUT_MARGIN_S = 1.0
 
 
 class ForwardedSession:
-    """What a statement needs to know of the session on another host.
+    """State of a session on another host, as needed by one statement.
 
     Attributes
     ----------
     values : dict of str to str
-        Session values.
+        Session variables.
     positions : dict of str to Position
-        Last commit, by service.
+        Position of the last commit of the session, by service.
     transaction : Transaction or None
         Open transaction.
-    committed : Position or None
-        Commit of the statement that runs.
+    commit_position : Position or None
+        Position of the commit made by the statement.
     """
 
-    __slots__ = ("committed", "positions", "transaction", "values")
+    __slots__ = ("commit_position", "positions", "transaction", "values")
 
-    def __init__(self, message: Run, transaction: Transaction | None):
+    def __init__(self, message: RunRequest, transaction: Transaction | None):
         self.values = message.values
         self.positions: dict[str, Position] = {}
-        if message.own is not None:
-            self.positions[message.service] = message.own
+        if message.session_position is not None:
+            self.positions[message.service] = message.session_position
         self.transaction = transaction
-        self.committed: Position | None = None
+        self.commit_position: Position | None = None
 
-    def note_commit(self, service: str, position: Position | None) -> None:
-        """Note the position that the session's next reads must include."""
-        self.committed = position
+    def record_commit(self, service: str, position: Position | None) -> None:
+        """Store the position to be returned to the forwarding host."""
+        self.commit_position = position
 
 
 class ForwardedTransaction(msgspec.Struct, eq=False):
-    """A transaction that another host has begun here.
+    """Transaction run on behalf of another host.
 
     Attributes
     ----------
     running : bool
-        Whether a statement of it runs.
-    ended : bool
-        Whether it is to be rolled back once that statement has ended.
+        Whether one of its statements is running.
+    rollback_pending : bool
+        Whether to roll it back once that statement has finished.
     """
 
     transaction: Transaction
     running: bool = False
-    ended: bool = False
+    rollback_pending: bool = False
     timer: asyncio.TimerHandle | None = None
 
 
 class GatewayServer:
-    """Accepts connections of other entry hosts.
+    """Accepts connections of other entry hosts and runs their statements.
 
     Parameters
     ----------
     host : RelayHost
-        Owner; runs the statements.
+        Host that executes the statements.
+
+    Attributes
+    ----------
+    in_flight : int
+        Statements that are running or queued.
     """
 
     def __init__(self, host):
         self.host = host
         self.server: asyncio.Server | None = None
-        self.connections: set[Connection] = set()
-        self.running = 0
+        self.connections: set[ForwarderConnection] = set()
+        self.in_flight = 0
 
     async def start(self, address: str) -> None:
-        """Listen."""
+        """Start listening."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
@@ -102,54 +107,54 @@
         )
 
     def _accept(self):
-        connection = Connection(self)
+        connection = ForwarderConnection(self)
         self.connections.add(connection)
         return connection.channel
 
     @property
     def open_transactions(self) -> int:
-        """Transactions that other hosts have open here."""
+        """Number of open transactions of other hosts."""
         return sum(len(c.transactions) for c in self.connections)
 
-    def leave(self) -> None:
-        """Tell the other hosts to send no new statements."""
+    def announce_shutdown(self) -> None:
+        """Notify the other hosts to send no new statements."""
         for connection in self.connections:
-            connection.send(Bye())
+            connection.send(GoAway())
 
     def close(self) -> None:
-        """End every connection."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
             connection.channel.close()
 
 
-class Connection:
-    """The connection of one other entry host."""
+class ForwarderConnection:
+    """Connection of another entry host that forwards statements."""
 
     def __init__(self, server: GatewayServer):
         self.server = server
         self.peer = ""
         self.channel = LineChannel(
-            self._on_line, self._on_lost, MAX_FRAME_BYTES
+            self._on_line, self._on_disconnect, MAX_FRAME_BYTES
         )
         self.transactions: dict[int, ForwardedTransaction] = {}
         self.tasks: set[asyncio.Task] = set()
 
     def send(self, message) -> None:
-        """Send a message; lost if the connection has ended."""
+        """Send a message; ignored if the connection is closed."""
         self.channel.send(encode(message) + b"\r\n")
 
     def _on_line(self, line: bytes) -> None:
-        message = decode(line, ToGateway)
+        message = decode(line, GatewayRequest)
         match message:
             case Hello(host):
                 self.peer = host
             case Ping():
                 self.send(Pong())
-            case Rollback(number):
+            case RollbackRequest(number):
                 self._end(number)
-            case Run():
+            case RunRequest():
                 task = asyncio.ensure_future(self._run(message))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
@@ -161,117 +166,128 @@
                     reason=message.reason,
                 )
                 self.channel.abort()
-                self._on_lost("unreadable message")
+                self._on_disconnect("cannot decode message")
 
-    def _on_lost(self, reason: str) -> None:
-        """Roll back what the other host has left open."""
+    def _on_disconnect(self, reason: str) -> None:
+        """Roll back the open transactions of the other host."""
         self.server.connections.discard(self)
         for number in list(self.transactions):
             self._end(number)
 
     def _end(self, number: int) -> None:
-        held = self.transactions.pop(number, None)
-        if held is None:
+        forwarded = self.transactions.pop(number, None)
+        if forwarded is None:
             return
-        if held.timer is not None:
-            held.timer.cancel()
-        held.ended = True
-        if not held.running:
-            self.server.host.local.abandon(held.transaction)
-
-    async def _run(self, message: Run) -> None:
-        self.server.running += 1
+        if forwarded.timer is not None:
+            forwarded.timer.cancel()
+        forwarded.rollback_pending = True
+        if not forwarded.running:
+            self.server.host.local_executor.abandon(forwarded.transaction)
+
+    async def _run(self, message: RunRequest) -> None:
+        self.server.in_flight += 1
         try:
-            answer = await self._answer(message)
+            response = await self._handle(message)
         except Exception as err:
             log_event("gateway_failed", "error", error=repr(err))
-            answer = Answer(
+            response = RunResponse(
                 message.number, kind=ErrorKind.INTERNAL, reason=repr(err)
             )
         finally:
-            self.server.running -= 1
-        self.send(answer)
+            self.server.in_flight -= 1
+        self.send(response)
 
-    async def _answer(self, message: Run) -> Answer:
-        held = None
+    async def _handle(self, message: RunRequest) -> RunResponse:
+        forwarded = None
         if message.transaction:
-            held = self._transaction(message)
+            forwarded = self._get_or_begin(message)
         elif self.server.host.stopping:
-            held = Failure(ErrorKind.SHUTTING_DOWN, "the gateway stops")
-        if is_failure(held):
-            return Answer(message.number, kind=held.kind, reason=held.reason)
-        transaction = held.transaction if held else None
+            forwarded = Failure(
+                ErrorKind.SHUTTING_DOWN, "gateway is shutting down"
+            )
+        if is_failure(forwarded):
+            return RunResponse(
+                message.number, kind=forwarded.kind, reason=forwarded.reason
+            )
+        transaction = forwarded.transaction if forwarded else None
         session = ForwardedSession(message, transaction)
-        work = _work(message, session)
-        outcome = await self._execute(work, held, message.transaction)
+        request = _make_request(message, session)
+        outcome = await self._execute(request, forwarded, message.transaction)
         failed = is_failure(outcome)
-        return Answer(
+        return RunResponse(
             message.number,
             rows=[] if failed else outcome.rows,
             signature="" if failed else outcome.signature,
             kind=outcome.kind if failed else None,
             reason=outcome.reason if failed else "",
-            commit=session.committed,
-            endpoint=work.endpoint,
-            attempts=work.attempts,
-            need=work.need,
-            proof_age_s=work.proof_age_s,
-            waiting=self.server.running,
+            commit=session.commit_position,
+            endpoint=request.endpoint,
+            attempts=request.attempts,
+            min_position=request.min_position,
+            proof_age_s=request.proof_age_s,
+            waiting=self.server.in_flight,
         )
 
-    def _transaction(self, message: Run) -> ForwardedTransaction | Failure:
-        """Return the transaction of a statement; its first one begins it."""
-        held = self.transactions.get(message.transaction)
-        if held is not None:
-            if held.timer is not None:
-                held.timer.cancel()
-            return held
+    def _get_or_begin(
+        self, message: RunRequest
+    ) -> ForwardedTransaction | Failure:
+        """Return the transaction of a statement, or begin it."""
+        forwarded = self.transactions.get(message.transaction)
+        if forwarded is not None:
+            if forwarded.timer is not None:
+                forwarded.timer.cancel()
+            return forwarded
         if not message.begins:
-            # A statement must never run in a transaction other than the one
-            # its caller has begun.
-            reason = "the gateway has ended the transaction"
+            # A statement must never run in a different transaction from the
+            # one in which the client sent it.
+            reason = "the gateway has rolled back the transaction"
             return Failure(ErrorKind.TRANSACTION_ABORTED, reason)
         if self.server.host.stopping:
-            return Failure(ErrorKind.SHUTTING_DOWN, "the gateway stops")
+            return Failure(ErrorKind.SHUTTING_DOWN, "gateway is shutting down")
         begun_at = now() - message.begun_age_s
-        held = ForwardedTransaction(
-            Transaction(_route(message), message.read_only, begun_at)
+        forwarded = ForwardedTransaction(
+            Transaction(_make_route(message), message.read_only, begun_at)
         )
-        self.transactions[message.transaction] = held
-        return held
+        self.transactions[message.transaction] = forwarded
+        return forwarded
 
     async def _execute(
-        self, work: Work, held: ForwardedTransaction | None, number: int
+        self,
+        request: StatementRequest,
+        forwarded: ForwardedTransaction | None,
+        number: int,
     ):
-        local = self.server.host.local
-        if held is None:
-            return await local.run_single(work)
-        transaction = held.transaction
-        held.running = True
+        executor = self.server.host.local_executor
+        if forwarded is None:
+            return await executor.run_single(request)
+        transaction = forwarded.transaction
+        forwarded.running = True
         try:
-            if work.statement.kind is StatementKind.COMMIT:
+            if request.statement.kind is StatementKind.COMMIT:
                 self.transactions.pop(number, None)
-                return await local.commit(transaction, work)
-            outcome = await local.run_in_transaction(transaction, work)
+                return await executor.commit(transaction, request)
+            outcome = await executor.run_in_transaction(transaction, request)
         finally:
-            held.running = False
-        if is_failure(outcome) or held.ended:
+            forwarded.running = False
+        if is_failure(outcome) or forwarded.rollback_pending:
             self.transactions.pop(number, None)
-            local.abandon(transaction)
+            executor.abandon(transaction)
         else:
-            self._start_timer(held, number)
+            self._start_timer(forwarded, number)
         return outcome
 
-    def _start_timer(self, held: ForwardedTransaction, number: int) -> None:
+    def _start_timer(
+        self, forwarded: ForwardedTransaction, number: int
+    ) -> None:
         limit_ms = self.server.host.idle_transaction_ms
         if limit_ms:
             loop = asyncio.get_running_loop()
-            held.timer = loop.call_later(
-                limit_ms / 1000 + IDLE_MARGIN_S, self._end, number
+            forwarded.timer = loop.call_later(
+                limit_ms / 1000 + IDLE_TIMEOUT_MARGIN_S, self._end, number
             )
 
 
-def _route(message: Run) -> Route:
+def _make_route(message: RunRequest) -> Route:
     return Route(
         name="",
         database="",
@@ -285,11 +301,13 @@
     )
 
 
-def _work(message: Run, session: ForwardedSession) -> Work:
+def _make_request(
+    message: RunRequest, session: ForwardedSession
+) -> StatementRequest:
     definition = None
     if message.definition is not None:
-        definition = Definition(*message.definition)
-    return Work(
+        definition = PreparedStatement(*message.definition)
+    return StatementRequest(
         Statement(
             message.request_id,
             message.kind,
@@ -297,7 +315,7 @@
             message.name,
             message.argument,
         ),
-        _route(message),
+        _make_route(message),
         now() - message.age_s,
         message.writes,
         session,
--- a/chivescale/relay/_hedging.py
+++ b/chivescale/relay/_hedging.py
@@ -1,97 +1,97 @@
-"""Offers a read to one candidate after the other."""
+"""Hedged execution of reads."""
 
 import asyncio
 import collections.abc
 import typing
 
 from chivescale.errors import Failure, is_failure
-from chivescale.relay._work import Outcome
+from chivescale.relay._request import Outcome
 from chivescale.retry import RetryBudget
 
-# Share of reads that may be offered twice at a time, and how many at once.
-HEDGE_SHARE = 0.1
+# Fraction of reads that may be hedged, and the allowed burst of hedges.
+HEDGE_FRACTION = 0.1
 HEDGE_BURST = 10.0
 
 T = typing.TypeVar("T")
 
 
-class Offers:
-    """Runs reads; a candidate that is slow is not waited for alone.
+class HedgedReads:
+    """Runs reads and sends slow ones to a second candidate.
 
     Attributes
     ----------
-    retries : RetryBudget
-        Bounds how many reads run at two candidates at a time.
-    tasks : set of asyncio.Task
-        Attempts whose answer is not needed any more.
+    hedge_budget : RetryBudget
+        Limits the number of reads that run at two candidates at once.
+    detached : set of asyncio.Task
+        Running attempts whose result is no longer needed.
     """
 
     def __init__(self):
-        self.retries = RetryBudget(HEDGE_SHARE, HEDGE_BURST)
-        self.tasks: set[asyncio.Task] = set()
+        self.hedge_budget = RetryBudget(HEDGE_FRACTION, HEDGE_BURST)
+        self.detached: set[asyncio.Task] = set()
 
-    async def first_answer(
+    async def first_result(
         self,
-        choose: collections.abc.Callable[[], T | None],
-        offer: collections.abc.Callable[
+        next_candidate: collections.abc.Callable[[], T | None],
+        start_attempt: collections.abc.Callable[
             [T], tuple[collections.abc.Awaitable[Outcome], float] | Failure
         ],
-        may_repeat: collections.abc.Callable[[Failure], bool],
-        exhausted: collections.abc.Callable[
+        is_retryable: collections.abc.Callable[[Failure], bool],
+        on_exhausted: collections.abc.Callable[
             [Failure], collections.abc.Awaitable[Failure | None]
         ],
         failure: Failure,
     ) -> Outcome:
-        """Return the first answer that ends the read.
+        """Return the first success or non-retryable failure.
 
         Parameters
         ----------
-        choose : callable
-            Returns the next candidate; None if there is none.
-        offer : callable
-            Returns an attempt at a candidate and the time in seconds after
-            which another candidate gets the read too, or why it is not
-            offered.
-        may_repeat : callable
-            Tells whether a failure leaves the read to other candidates.
-        exhausted : callable
-            Called with the last failure when no candidate is left; returns
-            None to choose again, or what the caller is told.
+        next_candidate : callable
+            Returns the next candidate, or None if there is none.
+        start_attempt : callable
+            Returns an attempt at a candidate and the delay in seconds after
+            which the read is hedged, or a failure if the candidate is
+            skipped.
+        is_retryable : callable
+            Returns whether another candidate may be tried after a failure.
+        on_exhausted : callable
+            Called with the last failure when no candidate is left. Returns
+            None to ask for candidates again, or the final failure.
         failure : Failure
-            Last failure if there is no candidate at all.
+            Failure to report if there is no candidate at all.
         """
         running: set[asyncio.Task] = set()
         while True:
-            candidate = choose()
-            wait_s = None
+            candidate = next_candidate()
+            hedge_delay_s = None
             if candidate is not None and (
-                not running or self.retries.try_retry()
+                not running or self.hedge_budget.try_retry()
             ):
-                offered = offer(candidate)
-                if is_failure(offered):
-                    failure = offered
+                started = start_attempt(candidate)
+                if is_failure(started):
+                    failure = started
                     continue
-                attempt, wait_s = offered
+                attempt, hedge_delay_s = started
                 running.add(asyncio.ensure_future(attempt))
             if not running:
-                final = await exhausted(failure)
+                final = await on_exhausted(failure)
                 if final is not None:
                     return final
                 continue
             done, running = await asyncio.wait(
                 running,
-                timeout=wait_s,
+                timeout=hedge_delay_s,
                 return_when=asyncio.FIRST_COMPLETED,
             )
             for task in done:
                 outcome = task.result()
-                if not is_failure(outcome) or not may_repeat(outcome):
-                    self._keep_running(running)
+                if not is_failure(outcome) or not is_retryable(outcome):
+                    self._detach(running)
                     return outcome
                 failure = outcome
 
-    def _keep_running(self, tasks: set[asyncio.Task]) -> None:
-        """Let attempts end whose answer is not needed any more."""
-        self.tasks |= tasks
+    def _detach(self, tasks: set[asyncio.Task]) -> None:
+        """Let attempts finish in the background and ignore their results."""
+        self.detached |= tasks
         for task in tasks:
-            task.add_done_callback(self.tasks.discard)
+            task.add_done_callback(self.detached.discard)
--- a/chivescale/relay/_host.py
+++ b/chivescale/relay/_host.py
@@ -1,4 +1,4 @@
-"""Shell of the relaying entry role."""
+"""Entry host of the relay: life cycle, configuration and logging."""
 
 import asyncio
 import random
@@ -9,65 +9,65 @@
 from chivescale.clock import now
 from chivescale.dialect import CallerDialect, EndpointDialect
 from chivescale.errors import ErrorKind, Failure, is_failure
-from chivescale.gateway import gateways_of
+from chivescale.gateway import select_gateways
 from chivescale.httpio import HttpClient
 from chivescale.messages import EndpointNews, EntryHostRecord
+from chivescale.relay._coordinator_watcher import CoordinatorWatcher
 from chivescale.relay._endpoint import Endpoint, Service
 from chivescale.relay._executor import Executor
-from chivescale.relay._follower import Follower
 from chivescale.relay._forwarder import Forwarder
 from chivescale.relay._gateway import GatewayServer
-from chivescale.relay._reachability import Reachability
-from chivescale.relay._session import CallerSession
+from chivescale.relay._isolation import IsolationMonitor
+from chivescale.relay._session import ClientSession
 from chivescale.telemetry import COUNTERS, log_decision, log_event
 
-UPKEEP_PERIOD_S = 1.0
-# Connections of an endpoint that entry hosts leave to coordinators and to
-# links that are being closed.
+MAINTENANCE_INTERVAL_S = 1.0
+# Connections per endpoint left to coordinators and to connections that are
+# being closed.
 RESERVED_CONNECTIONS = 4
-# Part of an endpoint's connections that one host may hold while others need
-# none.
-LARGEST_SHARE = 0.25
-# It may also not hold more than this many times an even share. With many
-# hosts, the sum of what they could open would exceed the limit many times.
-GREATEST_MULTIPLE = 4
-# Part of an endpoint's connections that hosts keep open without use. After a
-# loss of power the endpoint counts the dead ones for seconds; the rest is room
-# for new ones meanwhile.
-STANDING_SHARE = 0.5
-# One in this many plain successes is logged.
-SUCCESS_LOG_PERIOD = 200
-# While it stops, a host keeps accepting for this long, because the balancer
-# notices only after two probes that it is not ready.
+# Fraction of the connections of an endpoint that one host may hold while
+# other hosts do not need them.
+MAX_HOST_FRACTION = 0.25
+# A host may also hold at most this multiple of an even share. Otherwise many
+# hosts could together try to open many times the connection limit.
+MAX_EVEN_SHARES = 4
+# Fraction of the connections of an endpoint that all hosts together keep open
+# while idle. After a power failure of hosts the endpoint still counts their
+# dead connections for seconds; the rest remains available for new ones.
+STANDING_FRACTION = 0.5
+# One of this many successful statements is logged.
+SUCCESS_LOG_INTERVAL = 200
+# A stopping host accepts connections for this long, because the load balancer
+# needs two failed probes to detect that it is not ready.
 ACCEPT_AFTER_STOP_S = 2.5
-STOP_POLL_S = 0.05
-# After a start, callers wait this long for the first configuration. An
-# election and the way of the configuration take about a second; a caller
-# waits two.
-START_WAIT_S = 1.5
+DRAIN_POLL_INTERVAL_S = 0.05
+# After a start, clients wait this long for the first configuration. An
+# election and the transfer of the configuration take about 1 s; clients time
+# out after 2 s.
+STARTUP_WAIT_S = 1.5
 
 
 class RelaySettings(msgspec.Struct, frozen=True):
-    """What an entry host needs to know.
+    """Settings of an entry host.
 
     Attributes
     ----------
     name, zone : str
-        Identity.
+        Name and availability zone of the host.
     callers_address : str
-        ``ip:port`` for callers.
+        ``ip:port`` on which clients connect.
     seeds : tuple of str
         Addresses of coordinators.
     stop_grace_s : float
-        Time from the request to stop until the process is killed.
+        Time between the request to stop and the kill of the process.
     gateway_address : str
-        ``ip:port`` for other entry hosts.
-    direct_links : int
+        ``ip:port`` on which other entry hosts connect.
+    min_direct_connections : int
         Every host connects to the endpoints of a service if each endpoint
-        accepts this many connections from each.
-    gateway_links : int
-        Connections to an endpoint that a gateway must be able to hold: one
-        for a transaction and one for what comes meanwhile.
+        accepts this many connections per host.
+    min_gateway_connections : int
+        Minimum number of connections per gateway to an endpoint: one for a
+        transaction and one for concurrent statements.
     """
 
     name: str
@@ -76,65 +76,75 @@
     seeds: tuple[str, ...]
     stop_grace_s: float
     gateway_address: str = ""
-    direct_links: int = 1
-    gateway_links: int = 2
+    min_direct_connections: int = 1
+    min_gateway_connections: int = 2
 
 
 class RelayHost:
-    """One entry host: sessions, services and what it follows.
+    """Entry host that relays statements between clients and endpoints.
 
     Parameters
     ----------
     settings : RelaySettings
-        Identity and addresses.
-    client : HttpClient
-        Connections to coordinators.
-    callers, endpoints : CallerDialect, EndpointDialect
-        How both sides speak.
+        Name, zone and addresses.
+    http_client : HttpClient
+        Client for calls to coordinators.
+    caller_dialect : CallerDialect
+        Codec for messages of clients.
+    endpoint_dialect : EndpointDialect
+        Codec for messages of endpoints.
     rng : random.Random
-        Source of random choices.
+        Source of randomness.
+
+    Attributes
+    ----------
+    by_id : dict of str to Endpoint
+        Endpoints of all services by identifier.
+    waiting_sessions : list of (ClientSession, str)
+        Sessions that wait for the first configuration, with their database.
     """
 
     def __init__(
         self,
         settings: RelaySettings,
-        client: HttpClient,
-        callers: CallerDialect,
-        endpoints: EndpointDialect,
+        http_client: HttpClient,
+        caller_dialect: CallerDialect,
+        endpoint_dialect: EndpointDialect,
         rng: random.Random,
     ):
         self.settings = settings
-        self.client = client
-        self.callers = callers
-        self.endpoints = endpoints
+        self.http_client = http_client
+        self.caller_dialect = caller_dialect
+        self.endpoint_dialect = endpoint_dialect
         self.rng = rng
         self.catalog: Catalog | None = None
         self.routes: dict[str, Route] = {}
         self.max_connections: dict[str, int] = {}
         self.services: dict[str, Service] = {}
         self.by_id: dict[str, Endpoint] = {}
-        self.sessions: set[CallerSession] = set()
-        self.local = Executor(self.service)
+        self.sessions: set[ClientSession] = set()
+        self.local_executor = Executor(self.service)
         self.executor = Forwarder(
-            settings.name, settings.zone, self.local, rng
+            settings.name, settings.zone, self.local_executor, rng
         )
         self.gateway = GatewayServer(self)
-        self.follower = Follower(self)
-        self.reachability = Reachability(self)
+        self.follower = CoordinatorWatcher(self)
+        self.isolation_monitor = IsolationMonitor(self)
         self.server: asyncio.Server | None = None
         self.tasks: list[asyncio.Task] = []
         self.stopping = False
         self.entry_hosts: tuple[EntryHostRecord, ...] = ()
-        self.successes = 0
+        self.success_count = 0
         self.started_at = now()
-        self.waiting_sessions: list[tuple[CallerSession, str]] = []
+        self.waiting_sessions: list[tuple[ClientSession, str]] = []
 
-    # Life.
+    # Life cycle.
 
     async def start(self) -> None:
-        """Accept callers and follow the coordinators.
+        """Accept clients and watch the coordinators.
 
-        May be called again after an OSError for a port that is taken.
+        May be called again after an OSError, for example if a port was in
+        use.
         """
         if self.settings.gateway_address and self.gateway.server is None:
             await self.gateway.start(self.settings.gateway_address)
@@ -145,58 +155,61 @@
         )
         self.tasks = [
             asyncio.ensure_future(self.follower.run()),
-            asyncio.ensure_future(self.reachability.run()),
-            asyncio.ensure_future(self._upkeep()),
+            asyncio.ensure_future(self.isolation_monitor.run()),
+            asyncio.ensure_future(self._maintain()),
         ]
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether the load balancer should send clients to this host."""
         return (
             self.catalog is not None
             and not self.stopping
-            and self.reachability.cut_off_since is None
+            and self.isolation_monitor.isolated_since is None
         )
 
     @property
     def starting(self) -> bool:
         """Whether the first configuration is still expected."""
-        return self.catalog is None and now() - self.started_at < START_WAIT_S
+        return (
+            self.catalog is None and now() - self.started_at < STARTUP_WAIT_S
+        )
 
-    def _greet_waiting(self) -> None:
-        """Answer the callers that came before the first configuration."""
+    def _open_waiting_sessions(self) -> None:
+        """Open the sessions that waited for the first configuration."""
         waiting, self.waiting_sessions = self.waiting_sessions, []
         for session, database in waiting:
-            session.greet(database)
+            session.accept(database)
 
     def _accept(self):
-        session = CallerSession(self, self.callers)
+        session = ClientSession(self, self.caller_dialect)
         self.sessions.add(session)
         return session.channel
 
     async def stop(self) -> None:
-        """Drain: not ready at once, then end sessions as they rest.
+        """Drain the host and stop.
 
-        Transactions get half of the grace period. What is idle is closed
-        as soon as the balancer sends no new connections.
+        The host reports not ready immediately. Idle sessions are closed once
+        the load balancer sends no new connections. Idle transactions are
+        rolled back after half of the grace period.
         """
         self.stopping = True
-        self.gateway.leave()
+        self.gateway.announce_shutdown()
         started = now()
         grace_s = self.settings.stop_grace_s
         log_event("drain_began", sessions=len(self.sessions))
-        half = started + grace_s / 2
+        abort_idle_at = started + grace_s / 2
         while self._busy and now() < started + grace_s * 0.8:
-            await asyncio.sleep(STOP_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
             accepting = now() < started + ACCEPT_AFTER_STOP_S
             for session in list(self.sessions):
-                if now() >= half:
-                    session.abort_idle("the host is stopping")
+                if now() >= abort_idle_at:
+                    session.abort_idle_transaction("host is shutting down")
                 if session.idle and not accepting:
                     session.close()
-        rest = started + ACCEPT_AFTER_STOP_S - now()
-        if rest > 0:
-            await asyncio.sleep(rest)
+        remaining_s = started + ACCEPT_AFTER_STOP_S - now()
+        if remaining_s > 0:
+            await asyncio.sleep(remaining_s)
         log_event(
             "drain_ended",
             sessions=len(self.sessions),
@@ -211,26 +224,26 @@
             task.cancel()
         for endpoint in self.by_id.values():
             endpoint.close()
-        await self.client.close()
+        await self.http_client.close()
 
     @property
     def _busy(self) -> bool:
         """Whether sessions or transactions of other hosts are open."""
         return bool(self.sessions or self.gateway.open_transactions)
 
-    async def _upkeep(self) -> None:
+    async def _maintain(self) -> None:
         while True:
-            await asyncio.sleep(UPKEEP_PERIOD_S)
+            await asyncio.sleep(MAINTENANCE_INTERVAL_S)
             time = now()
             for endpoint in self.by_id.values():
                 endpoint.pool.trim(time)
             if not self.starting:
-                self._greet_waiting()
+                self._open_waiting_sessions()
 
     # Configuration and endpoints.
 
     def apply_catalog(self, catalog: Catalog) -> None:
-        """Put a configuration into force; it never goes back."""
+        """Apply a configuration unless its version is not newer."""
         if self.catalog is not None and (
             catalog.version <= self.catalog.version
         ):
@@ -243,8 +256,8 @@
             options.name: options.max_connections
             for options in catalog.services
         }
-        self._plan_gateways()
-        self._greet_waiting()
+        self._assign_gateways()
+        self._open_waiting_sessions()
         log_event(
             "catalog_in_force",
             version=catalog.version,
@@ -256,60 +269,62 @@
         """Time after which an idle transaction is rolled back."""
         return self.catalog.idle_transaction_ms if self.catalog else 0
 
-    def route_of(self, database: str) -> Route | Failure:
+    def find_route(self, database: str) -> Route | Failure:
         """Return the route in force for a database."""
         route = self.routes.get(database)
         if route is not None:
             return route
         if self.catalog is None:
-            reason = "no configuration is known yet"
+            reason = "no configuration received yet"
             return Failure(ErrorKind.NOT_READY, reason)
-        reason = f"no route has the name {database}"
+        reason = f"no route for database {database}"
         return Failure(ErrorKind.UNKNOWN_DATABASE, reason)
 
     def service(self, name: str) -> Service:
-        """Return a service, known or not."""
+        """Return a service, creating it if it does not exist."""
         service = self.services.get(name)
         if service is None:
             service = Service(name, self.settings.zone, self.rng)
             self.services[name] = service
         return service
 
-    def apply_news(self, news: EndpointNews) -> None:
-        """Take over what a coordinator tells of an endpoint."""
-        beat = news.beat
-        known = self.by_id.get(beat.endpoint)
-        if known is not None and beat.order <= known.beat.order:
+    def apply_endpoint_update(self, update: EndpointNews) -> None:
+        """Apply an update of an endpoint received from a coordinator."""
+        heartbeat = update.beat
+        known = self.by_id.get(heartbeat.endpoint)
+        if known is not None and heartbeat.order <= known.beat.order:
             return
         replaced = known is not None and (
-            beat.gone
-            or beat.born_ms != known.beat.born_ms
-            or beat.address != known.beat.address
-            or beat.service != known.beat.service
+            heartbeat.gone
+            or heartbeat.born_ms != known.beat.born_ms
+            or heartbeat.address != known.beat.address
+            or heartbeat.service != known.beat.service
         )
         if replaced:
-            self._forget(known)
+            self._remove_endpoint(known)
             known = None
-        if beat.gone:
+        if heartbeat.gone:
             return
         if known is None:
-            known = Endpoint(beat, self.endpoints)
-            self.by_id[beat.endpoint] = known
-            self.service(beat.service).endpoints[beat.endpoint] = known
-            self._share_connections(known)
-        known.beat = beat
-        since = now() - news.primary_for_s
-        known.primary_since = since if news.primary_for_s >= 0 else 0.0
+            known = Endpoint(heartbeat, self.endpoint_dialect)
+            self.by_id[heartbeat.endpoint] = known
+            self.service(heartbeat.service).endpoints[heartbeat.endpoint] = (
+                known
+            )
+            self._update_pool_limits(known)
+        known.beat = heartbeat
+        since = now() - update.primary_for_s
+        known.primary_since = since if update.primary_for_s >= 0 else 0.0
         log_event(
             "endpoint_known",
-            service=beat.service,
-            endpoint=beat.endpoint,
-            primary=beat.primary,
-            draining=beat.draining,
-            sequence=beat.sequence,
+            service=heartbeat.service,
+            endpoint=heartbeat.endpoint,
+            primary=heartbeat.primary,
+            draining=heartbeat.draining,
+            sequence=heartbeat.sequence,
         )
 
-    def _forget(self, endpoint: Endpoint) -> None:
+    def _remove_endpoint(self, endpoint: Endpoint) -> None:
         name = endpoint.beat.endpoint
         del self.by_id[name]
         self.service(endpoint.beat.service).endpoints.pop(name, None)
@@ -317,62 +332,64 @@
         log_event("endpoint_forgotten", endpoint=name)
 
     def set_entry_hosts(self, hosts: tuple[EntryHostRecord, ...]) -> None:
-        """Divide the connections among these entry hosts."""
+        """Set the entry hosts that share the connections to endpoints."""
         self.entry_hosts = hosts
-        self._plan_gateways()
+        self._assign_gateways()
 
-    def _plan_gateways(self) -> None:
+    def _assign_gateways(self) -> None:
         services = tuple(self.max_connections)
         names = {host.name for host in self.entry_hosts if host.address}
         names.add(self.settings.name)
         gateways = {
-            service: gateways_of(
+            service: select_gateways(
                 service,
                 services,
                 names,
-                _room(self.max_connections[service]),
-                self.settings.direct_links,
-                self.settings.gateway_links,
+                _available_connections(self.max_connections[service]),
+                self.settings.min_direct_connections,
+                self.settings.min_gateway_connections,
             )
             for service in services
         }
         self.executor.update(self.entry_hosts, gateways)
         for endpoint in self.by_id.values():
-            self._share_connections(endpoint)
+            self._update_pool_limits(endpoint)
 
-    def _share_connections(self, endpoint: Endpoint) -> None:
+    def _update_pool_limits(self, endpoint: Endpoint) -> None:
         service = endpoint.beat.service
         hosts = len(self.executor.gateways.get(service, ())) or 1
         accepted = self.max_connections.get(service, 0)
         pool = endpoint.pool
-        pool.share, pool.limit = shares(accepted, hosts)
+        pool.guaranteed, pool.limit = connection_shares(accepted, hosts)
 
     # Sessions.
 
-    def session_ended(self, session: CallerSession) -> None:
-        """Forget a session."""
+    def remove_session(self, session: ClientSession) -> None:
+        """Remove a closed session."""
         self.sessions.discard(session)
 
-    def count_refusal(self, failure: Failure) -> None:
-        """Note a refused session."""
+    def record_refused_session(self, failure: Failure) -> None:
+        """Count and log a refused session."""
         COUNTERS.count("sessions_refused", failure.kind)
         log_decision(
             "session_refused", kind=failure.kind, reason=failure.reason
         )
 
-    def note_outcome(
-        self, session, statement, arrived_at, outcome, work
+    def record_outcome(
+        self, session, statement, arrived_at, outcome, statement_request
     ) -> None:
-        """Log the decision on a statement; plain successes are sampled."""
+        """Count and log the outcome of a statement; successes are sampled."""
         failed = is_failure(outcome)
         duration_s = now() - arrived_at
-        route = None if is_failure(work) else work.route
+        route = (
+            None if is_failure(statement_request) else statement_request.route
+        )
         consistency = route.consistency if route else "none"
         COUNTERS.count("statements", outcome.kind if failed else "ok")
         COUNTERS.observe("statement", consistency, duration_s)
         if not failed:
-            self.successes += 1
-            if self.successes % SUCCESS_LOG_PERIOD:
+            self.success_count += 1
+            if self.success_count % SUCCESS_LOG_INTERVAL:
                 return
         log_decision(
             "statement_failed" if failed else "statement",
@@ -382,19 +399,19 @@
             service=route.service if route else "",
             outcome=outcome.kind if failed else "ok",
             reason=outcome.reason if failed else "",
-            **_evidence(work),
+            **_decision_fields(statement_request),
             duration_s=duration_s,
             consistency=consistency,
             version=self.catalog.version if self.catalog else -1,
         )
 
 
-def _room(accepted: int) -> int:
-    """Return the connections to an endpoint that entry hosts share."""
+def _available_connections(accepted: int) -> int:
+    """Return the number of connections that entry hosts may share."""
     return max(1, accepted - RESERVED_CONNECTIONS)
 
 
-def shares(accepted: int, hosts: int) -> tuple[int, int]:
+def connection_shares(accepted: int, hosts: int) -> tuple[int, int]:
     """Divide the connections of an endpoint among hosts.
 
     Parameters
@@ -402,29 +419,32 @@
     accepted : int
         Connections that the endpoint accepts.
     hosts : int
-        Hosts that are connected to it.
+        Number of hosts connected to the endpoint.
 
     Returns
     -------
     tuple of int
-        Connections that one host keeps open, and that it may hold.
+        Number of connections that one host may keep open while idle, and
+        maximum number that it may hold.
     """
-    room = _room(accepted)
-    standing = max(1, int(room * STANDING_SHARE) // hosts)
-    even = max(1, room // hosts)
-    largest = max(even, int(room * LARGEST_SHARE))
-    return standing, max(standing, min(largest, GREATEST_MULTIPLE * even))
+    available = _available_connections(accepted)
+    standing = max(1, int(available * STANDING_FRACTION) // hosts)
+    even = max(1, available // hosts)
+    largest = max(even, int(available * MAX_HOST_FRACTION))
+    return standing, max(standing, min(largest, MAX_EVEN_SHARES * even))
 
 
-def _evidence(work) -> dict[str, object]:
-    """Return what decided on a statement, for its log line."""
-    if is_failure(work):
+def _decision_fields(request) -> dict[str, object]:
+    """Return the execution details of a statement for its log line."""
+    if is_failure(request):
         return {}
-    need = work.need
+    min_position = request.min_position
     return {
-        "attempts": work.attempts,
-        "endpoint": work.endpoint,
-        "gateway": work.gateway,
-        "need": f"{need.term}.{need.position}" if need else "",
-        "proof_age_s": work.proof_age_s,
+        "attempts": request.attempts,
+        "endpoint": request.endpoint,
+        "gateway": request.gateway,
+        "need": f"{min_position.term}.{min_position.position}"
+        if min_position
+        else "",
+        "proof_age_s": request.proof_age_s,
     }
--- a/chivescale/relay/_isolation.py
+++ b/chivescale/relay/_isolation.py
@@ -1,74 +1,74 @@
-"""Tells whether this host can serve what callers ask for."""
+"""Detection of a host that is isolated from coordinators and primaries."""
 
 import asyncio
 
 from chivescale.clock import now
 from chivescale.telemetry import log_event
 
-PERIOD_S = 0.1
-# The balancer needs two failed probes, a second apart, to stop sending
-# callers here. Sessions that rest are closed only after that, so that they
-# come back on another host.
-BALANCER_S = 2.2
+CHECK_INTERVAL_S = 0.1
+# The load balancer stops sending clients after two failed probes, one second
+# apart. Idle sessions are closed only after that, so that their clients
+# reconnect to another host.
+BALANCER_DETECTION_S = 2.2
 
 
-class Reachability:
-    """Notices when this host is cut off from coordinators and primaries.
+class IsolationMonitor:
+    """Detects that this host has lost both coordinators and primaries.
 
-    A host that has lost the coordinators alone still serves everything, and
-    one that has lost a primary alone is told by the coordinators where the
-    next one is. A host that has lost both serves its callers worse than any
-    other one, so it reports not ready.
+    A host that has lost only the coordinators can still serve all requests,
+    and a host that has lost only a primary learns of the new primary from the
+    coordinators. A host that has lost both serves its clients worse than any
+    other host and therefore reports not ready.
 
     Parameters
     ----------
     host : RelayHost
-        Owner.
+        Host to monitor.
 
     Attributes
     ----------
-    cut_off_since : float or None
-        Since when the host is cut off.
+    isolated_since : float or None
+        Time since which the host is isolated.
     """
 
     def __init__(self, host):
         self.host = host
-        self.cut_off_since: float | None = None
+        self.isolated_since: float | None = None
 
     async def run(self) -> None:
-        """Check at intervals."""
+        """Check periodically until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             time = now()
             for endpoint in self.host.by_id.values():
-                endpoint.check_silence(time)
-            self.host.executor.check_silence(time)
+                endpoint.check_timeouts(time)
+            self.host.executor.check_timeouts(time)
             if self.host.follower.connected:
-                self._note(False)
+                self._set_isolated(False)
             elif self.host.catalog is not None:
-                self._note(await self._primary_lost())
-            if self.cut_off_since is not None:
-                self.move_sessions(time)
+                self._set_isolated(await self._any_service_unreachable())
+            if self.isolated_since is not None:
+                self.close_idle_sessions(time)
 
-    async def _primary_lost(self) -> bool:
-        """Tell whether some service is out of reach."""
+    async def _any_service_unreachable(self) -> bool:
+        """Return whether any service is unreachable."""
         host = self.host
-        answers = await asyncio.gather(
-            *(host.executor.reaches(name) for name in host.max_connections)
+        results = await asyncio.gather(
+            *(host.executor.can_reach(name) for name in host.max_connections)
         )
-        return not all(answers)
+        return not all(results)
 
-    def _note(self, cut_off: bool) -> None:
-        if cut_off == (self.cut_off_since is not None):
+    def _set_isolated(self, isolated: bool) -> None:
+        if isolated == (self.isolated_since is not None):
             return
-        self.cut_off_since = now() if cut_off else None
-        log_event("reachability", "warning", cut_off=cut_off)
+        self.isolated_since = now() if isolated else None
+        log_event("reachability", "warning", cut_off=isolated)
 
-    def move_sessions(self, time: float) -> None:
-        """Close resting sessions that came before the balancer noticed."""
-        noticed = self.cut_off_since + BALANCER_S
-        if time < noticed:
+    def close_idle_sessions(self, time: float) -> None:
+        """Close idle sessions opened before the load balancer reacted."""
+        detected_at = self.isolated_since + BALANCER_DETECTION_S
+        if time < detected_at:
             return
         for session in list(self.host.sessions):
-            if session.idle and session.opened_at < noticed:
+            if session.idle and session.opened_at < detected_at:
                 session.close()
--- a/chivescale/relay/_outcomes.py
+++ b/chivescale/relay/_outcomes.py
@@ -1,9 +1,10 @@
-"""What failures of endpoints mean for the caller of a statement."""
+"""Maps endpoint failures to the failures reported to clients."""
 
 from chivescale.errors import ErrorKind, Failure
 
-# Refusals that leave the statement free to run elsewhere.
-NOT_RUN = frozenset(
+# Failures after which the statement was certainly not executed, so that it
+# may be retried on another endpoint.
+NOT_EXECUTED = frozenset(
     {
         ErrorKind.OVERLOADED,
         ErrorKind.ENDPOINT_BEHIND,
@@ -17,21 +18,22 @@
 )
 
 
-def not_started(failure: Failure) -> Failure:
-    """Mark a lost link on which no statement of the caller had left."""
+def as_not_sent(failure: Failure) -> Failure:
+    """Return the failure of a connection before the statement was sent."""
     if failure.kind in (ErrorKind.READ_INTERRUPTED, ErrorKind.TIMEOUT):
         return Failure(ErrorKind.UNREACHABLE, failure.reason)
     return failure
 
 
-def may_repeat_read(failure: Failure) -> bool:
+def is_retryable_read(failure: Failure) -> bool:
     return (
-        failure.kind in NOT_RUN or failure.kind is ErrorKind.READ_INTERRUPTED
+        failure.kind in NOT_EXECUTED
+        or failure.kind is ErrorKind.READ_INTERRUPTED
     )
 
 
-def write_failure(failure: Failure) -> Failure:
-    """Return what a caller is told of a write that may have run."""
+def as_write_failure(failure: Failure) -> Failure:
+    """Return the failure reported for a write that may have been executed."""
     unknown = (ErrorKind.READ_INTERRUPTED, ErrorKind.TIMEOUT)
     if failure.kind in unknown:
         reason = f"answer to the write was lost: {failure.reason}"
@@ -39,8 +41,8 @@
     return failure
 
 
-def aborted(failure: Failure) -> Failure:
-    """Return what a caller is told of a transaction that was rolled back."""
+def as_aborted(failure: Failure) -> Failure:
+    """Return the failure reported for a transaction that was rolled back."""
     lost = (
         ErrorKind.READ_INTERRUPTED,
         ErrorKind.TIMEOUT,
@@ -52,13 +54,13 @@
     return failure
 
 
-def no_endpoint(service: str) -> Failure:
-    """Return the refusal while no endpoint can serve a read."""
-    reason = f"no endpoint of {service} can be used"
+def no_endpoint_failure(service: str) -> Failure:
+    """Return the failure if no endpoint can serve the statement."""
+    reason = f"no usable endpoint of service {service}"
     return Failure(ErrorKind.OVERLOADED, reason)
 
 
-def queue_refusal(endpoint: str) -> Failure:
-    """Return the refusal of new work for an endpoint with a long queue."""
-    reason = f"statements wait for too long at {endpoint}"
+def queue_delay_failure(endpoint: str) -> Failure:
+    """Return the failure for new work rejected by admission control."""
+    reason = f"queue delay of endpoint {endpoint} exceeds the target"
     return Failure(ErrorKind.OVERLOADED, reason)
--- a/chivescale/relay/_pool.py
+++ b/chivescale/relay/_pool.py
@@ -1,4 +1,4 @@
-"""Links of one entry host to one endpoint."""
+"""Pool of connections from one entry host to one endpoint."""
 
 import asyncio
 import collections.abc
@@ -10,69 +10,71 @@
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.link import Link
 
-# A link is opened within this time. A new connection takes a slot of the
-# endpoint, so it waits behind running statements.
-OPEN_TIMEOUT_S = 1.0
-# After a refusal for too many connections, no link is opened for this long.
-# The pause doubles with each refusal in a row: an attempt takes time of a
-# slot, and many hosts would make attempts at the same time.
-FULL_PAUSE_S = 0.8
-LONGEST_FULL_PAUSE_S = 1.6
-# After a failed attempt to connect, no other one is made for this long.
-FAILED_PAUSE_S = 0.25
-# Links above the own share are given back after this time without use. After
-# a loss of power an endpoint keeps the dead connections for seconds; few open
-# ones leave room for the new ones.
-SURPLUS_IDLE_S = 1.5
-
-OpenLink = collections.abc.Callable[
+# A new connection occupies a slot of the endpoint, so opening it may have to
+# wait for running statements.
+CONNECT_TIMEOUT_S = 1.0
+# Delay before the next attempt after the endpoint refused a connection at its
+# limit. It doubles with each consecutive refusal, because attempts use slot
+# time and many hosts would otherwise retry simultaneously.
+FULL_BACKOFF_S = 0.8
+MAX_FULL_BACKOFF_S = 1.6
+# Delay before the next attempt after connecting failed for another reason.
+FAILURE_BACKOFF_S = 0.25
+# Connections above the guaranteed number are closed after this time without
+# use. After a power failure an endpoint counts dead connections for seconds;
+# keeping few connections open leaves room for new ones.
+EXCESS_IDLE_TIMEOUT_S = 1.5
+
+Connect = collections.abc.Callable[
     [float], collections.abc.Awaitable[Link | Failure]
 ]
 
 
-class LinkPool:
-    """Lends links to sessions; the most important waiter is served first.
+class ConnectionPool:
+    """Connection pool that serves waiters by priority.
 
     Parameters
     ----------
-    open_new : callable
+    connect : callable
         Coroutine function ``(timeout_s) -> Link | Failure``.
 
     Attributes
     ----------
-    share : int
-        Links that this host may always hold.
+    guaranteed : int
+        Number of connections that this host may keep open while idle.
     limit : int
-        Links that it may hold while the endpoint has room.
+        Maximum number of connections, if the endpoint accepts them.
+    lent : int
+        Number of connections in use.
     """
 
-    def __init__(self, open_new: OpenLink):
-        self.open_new = open_new
-        self.share = 1
+    def __init__(self, connect: Connect):
+        self.connect = connect
+        self.guaranteed = 1
         self.limit = 1
         self.idle: list[Link] = []
         self.lent = 0
         self.opening = 0
         self.waiters: list[tuple[int, int, asyncio.Future]] = []
-        self.numbers = itertools.count()
+        self.sequence = itertools.count()
         self.full_until = 0.0
-        self.full_pause_s = FULL_PAUSE_S
+        self.full_backoff_s = FULL_BACKOFF_S
         self.failed_until = 0.0
         self.last_failure: Failure | None = None
         self.tasks: set[asyncio.Task] = set()
 
     @property
     def held(self) -> int:
-        """Links that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return len(self.idle) + self.lent + self.opening
 
     @property
     def waiting(self) -> int:
-        """Sessions that wait for a link."""
+        """Number of statements that wait for a connection."""
         return len(self.waiters)
 
     def failing(self, time: float) -> bool:
-        """Tell whether connecting failed a moment ago and no link is left."""
+        """Return whether connecting failed recently and none are open."""
         return time < self.failed_until and not self.idle and not self.lent
 
     async def acquire(
@@ -82,44 +84,44 @@
         values: dict[str, str],
         session: object,
     ) -> Link | Failure:
-        """Lend a link.
+        """Acquire a connection.
 
         Parameters
         ----------
         priority : int
-            0 is served first.
+            Priority of the waiter; lower values are served first.
         timeout_s : float
-            Longest wait.
+            Maximum wait.
         values : dict of str to str
-            Session values that the statement needs; a link that has them
-            is preferred.
+            Session variables required by the statement; a connection on
+            which they are already set is preferred.
         session : object
-            Caller; the link that served it last is preferred.
+            Client session; the connection it used last is preferred.
 
         Returns
         -------
         Link or Failure
-            No statement has left in case of a failure.
+            On failure no statement was sent.
         """
-        link = self._take_idle(values, session)
-        if link is not None:
+        connection = self._take_idle(values, session)
+        if connection is not None:
             self.lent += 1
-            return link
+            return connection
         if self.failing(now()):
             return self.last_failure
-        self._open_if_allowed()
+        self._connect_if_allowed()
         if not self.opening and not self.lent:
-            reason = "the endpoint accepts no more connections"
+            reason = "endpoint accepts no more connections"
             return Failure(ErrorKind.ENDPOINT_FULL, reason)
         future = asyncio.get_running_loop().create_future()
-        entry = (priority, next(self.numbers), future)
+        entry = (priority, next(self.sequence), future)
         heapq.heappush(self.waiters, entry)
         try:
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
             if future.done() and not future.cancelled():
-                # The link came in the same turn of the event loop.
+                # A connection was assigned in the same event loop iteration.
                 return future.result()
             reason = f"no connection free in {timeout_s:.3f} s"
             return Failure(ErrorKind.OVERLOADED, reason)
@@ -129,100 +131,107 @@
                 heapq.heapify(self.waiters)
 
     def _take_idle(self, values, session) -> Link | None:
-        self.idle = [link for link in self.idle if link.usable]
+        self.idle = [
+            connection for connection in self.idle if connection.usable
+        ]
         if not self.idle:
             return None
         best = max(
             self.idle,
-            key=lambda link: (
-                link.values == values,
-                link.last_session is session,
-                link.used_at,
+            key=lambda connection: (
+                connection.values == values,
+                connection.last_session is session,
+                connection.used_at,
             ),
         )
         self.idle.remove(best)
         return best
 
-    def _open_if_allowed(self) -> None:
+    def _connect_if_allowed(self) -> None:
         time = now()
         if time < self.failed_until:
             return
         wanted = len(self.waiters) + 1 - self.opening
         if time >= self.full_until and self.held < self.limit and wanted > 0:
             self.opening += 1
-            task = asyncio.ensure_future(self._open())
+            task = asyncio.ensure_future(self._connect())
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _open(self) -> None:
+    async def _connect(self) -> None:
         try:
-            opened = await self.open_new(OPEN_TIMEOUT_S)
+            opened = await self.connect(CONNECT_TIMEOUT_S)
         finally:
             self.opening -= 1
         if not is_failure(opened):
-            self.full_pause_s = FULL_PAUSE_S
+            self.full_backoff_s = FULL_BACKOFF_S
             self.lent += 1
             self.release(opened)
             return
         self.last_failure = opened
         if opened.kind is ErrorKind.ENDPOINT_FULL:
-            pause_s = self.full_pause_s * random.uniform(0.5, 1.0)
-            self.full_until = now() + pause_s
-            self.full_pause_s = min(
-                2 * self.full_pause_s, LONGEST_FULL_PAUSE_S
+            backoff_s = self.full_backoff_s * random.uniform(0.5, 1.0)
+            self.full_until = now() + backoff_s
+            self.full_backoff_s = min(
+                2 * self.full_backoff_s, MAX_FULL_BACKOFF_S
             )
             if self.lent or self.opening:
                 return
         else:
-            self.failed_until = now() + FAILED_PAUSE_S
-        self._refuse_all(opened)
+            self.failed_until = now() + FAILURE_BACKOFF_S
+        self._fail_waiters(opened)
 
-    def _refuse_all(self, failure: Failure) -> None:
+    def _fail_waiters(self, failure: Failure) -> None:
         waiters, self.waiters = self.waiters, []
         for _, _, future in waiters:
             if not future.done():
                 future.set_result(failure)
 
-    def release(self, link: Link) -> None:
-        """Take a link back, or note that it was lost."""
+    def release(self, connection: Link) -> None:
+        """Return a connection, which may have been lost, to the pool."""
         self.lent -= 1
-        if not link.usable:
-            link.abort()
+        if not connection.usable:
+            connection.abort()
             if self.waiters:
-                self._open_if_allowed()
+                self._connect_if_allowed()
                 if not self.lent and not self.opening:
                     reason = "connection to the endpoint was lost"
-                    self._refuse_all(Failure(ErrorKind.UNREACHABLE, reason))
+                    self._fail_waiters(Failure(ErrorKind.UNREACHABLE, reason))
             return
-        link.used_at = now()
+        connection.used_at = now()
         while self.waiters:
             _, _, future = heapq.heappop(self.waiters)
             if not future.done():
                 self.lent += 1
-                future.set_result(link)
+                future.set_result(connection)
                 return
-        self.idle.append(link)
+        self.idle.append(connection)
 
     def trim(self, time: float) -> None:
-        """Close links above the share that nobody has used for a while."""
-        surplus = self.held - self.share
-        for link in sorted(self.idle, key=lambda link: link.used_at):
-            if surplus <= 0 or time - link.used_at < SURPLUS_IDLE_S:
+        """Close connections above the guaranteed number after the timeout."""
+        excess = self.held - self.guaranteed
+        for connection in sorted(
+            self.idle, key=lambda connection: connection.used_at
+        ):
+            if (
+                excess <= 0
+                or time - connection.used_at < EXCESS_IDLE_TIMEOUT_S
+            ):
                 return
-            self.idle.remove(link)
-            link.close()
-            surplus -= 1
-
-    def drop_idle(self) -> None:
-        """Close every unused link."""
-        for link in self.idle:
-            link.close()
+            self.idle.remove(connection)
+            connection.close()
+            excess -= 1
+
+    def close_idle(self) -> None:
+        """Close all idle connections."""
+        for connection in self.idle:
+            connection.close()
         self.idle.clear()
 
     def close(self) -> None:
-        """Close the pool; lent links are closed when they return."""
-        self.drop_idle()
+        """Close idle connections, cancel attempts and fail all waiters."""
+        self.close_idle()
         for task in self.tasks:
             task.cancel()
-        reason = "the endpoint is not used any more"
-        self._refuse_all(Failure(ErrorKind.UNREACHABLE, reason))
+        reason = "endpoint was removed"
+        self._fail_waiters(Failure(ErrorKind.UNREACHABLE, reason))
--- a/chivescale/relay/_prepare.py
+++ b/chivescale/relay/_prepare.py
@@ -1,4 +1,4 @@
-"""Brings a link into the state that a caller's statement needs."""
+"""Replays session state on a connection before a client's statement."""
 
 import msgspec
 
@@ -11,86 +11,88 @@
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.link import Link
 
-# More prepared statements on one link are cleared; endpoints keep each of
-# them in memory.
-MAX_PREPARED = 200
+# Connections with this many prepared statements are reset, because endpoints
+# keep each of them in memory.
+MAX_PREPARED_PER_CONNECTION = 200
 
 
-class Definition(msgspec.Struct, frozen=True):
-    """Content of a prepared statement."""
+class PreparedStatement(msgspec.Struct, frozen=True):
+    """Definition of a prepared statement."""
 
     writes: bool
     text: str
 
 
-class Need(msgspec.Struct):
-    """What a link must hold before a statement runs.
+class RequiredState(msgspec.Struct):
+    """State that a connection must have before a statement runs.
 
     Attributes
     ----------
     values : dict of str to str
-        Exactly these session values.
-    definition : Definition or None
+        Exact set of session variables.
+    definition : PreparedStatement or None
         Statement that must be prepared.
     begin : str
-        Text that begins a transaction; empty for none.
+        Statement that begins a transaction; empty for none.
     """
 
     values: dict[str, str]
-    definition: Definition | None = None
+    definition: PreparedStatement | None = None
     begin: str = ""
 
 
-async def prepare_link(
-    link: Link, need: Need, timeout_s: float
+async def prepare_connection(
+    connection: Link, required: RequiredState, timeout_s: float
 ) -> Reply | Failure | None:
-    """Replay values, a prepared statement and a begin on a link.
+    """Replay session variables, a prepared statement and a begin.
 
-    All of it travels in one message; the caller's statement follows only
-    after every part was answered with success.
+    They are pipelined in a single write. The client's statement must be sent
+    only after all of them have succeeded.
 
     Returns
     -------
     Reply, Failure or None
-        Answer to the begin, None without one. The refusal of the begin
-        leaves the link usable; any other failure closes it. No statement
-        of the caller has left.
+        Reply to the begin, or None without a begin. If the endpoint refuses
+        the begin, the connection stays usable; any other failure closes it.
+        On failure the client's statement was not sent.
     """
-    dialect = link.dialect
+    dialect = connection.dialect
     texts: list[str] = []
-    known = link.values
-    surplus = bool(known.keys() - need.values.keys())
-    full = len(link.prepared) >= MAX_PREPARED
-    if link.state is TransactionState.IDLE and (surplus or full):
+    known = connection.values
+    has_extra_values = bool(known.keys() - required.values.keys())
+    is_full = len(connection.prepared) >= MAX_PREPARED_PER_CONNECTION
+    if connection.state is TransactionState.IDLE and (
+        has_extra_values or is_full
+    ):
         texts.append(dialect.reset_text())
         known = {}
-        link.prepared.clear()
-    for name, value in need.values.items():
+        connection.prepared.clear()
+    for name, value in required.values.items():
         if known.get(name) != value:
             texts.append(dialect.set_text(name, value))
-    definition = need.definition
-    if definition is not None and definition not in link.prepared:
-        name = f"p{len(link.prepared) + 1}"
-        link.prepared[definition] = name
+    definition = required.definition
+    if definition is not None and definition not in connection.prepared:
+        name = f"p{len(connection.prepared) + 1}"
+        connection.prepared[definition] = name
         texts.append(
             dialect.prepare_text(name, definition.writes, definition.text)
         )
-    replayed = len(texts)
-    if need.begin:
-        texts.append(need.begin)
+    replayed_count = len(texts)
+    if required.begin:
+        texts.append(required.begin)
     if not texts:
         return None
     data = b"".join(dialect.query("", text) for text in texts)
-    replies = await link.exchange(data, len(texts), timeout_s)
+    replies = await connection.exchange(data, len(texts), timeout_s)
     if is_failure(replies):
         return replies
-    for reply in replies[:replayed]:
+    for reply in replies[:replayed_count]:
         if reply.refusal is not None:
-            link.abort()
-            reason = f"replay refused: {reply.refusal.detail}"
+            connection.abort()
+            reason = f"session state refused: {reply.refusal.detail}"
             return Failure(ErrorKind.UNREACHABLE, reason)
-    link.values = dict(need.values)
-    if not need.begin:
+    connection.values = dict(required.values)
+    if not required.begin:
         return None
     refusal = replies[-1].refusal
     if refusal is not None:
@@ -99,10 +101,12 @@
 
 
 def forwarded_text(
-    link: Link, statement: Statement, definition: Definition | None
+    connection: Link,
+    statement: Statement,
+    definition: PreparedStatement | None,
 ) -> str:
-    """Return the text under which a statement runs on a link."""
+    """Return the text to send for a statement on a connection."""
     if statement.kind is StatementKind.EXECUTE:
-        name = link.prepared[definition]
-        return link.dialect.execute_text(name, statement.argument)
+        name = connection.prepared[definition]
+        return connection.dialect.execute_text(name, statement.argument)
     return statement.text
--- a/chivescale/relay/_read_barrier.py
+++ b/chivescale/relay/_read_barrier.py
@@ -1,4 +1,4 @@
-"""Positions that reads have to include, as a primary has proven them."""
+"""Determines the log position that a read must observe."""
 
 import asyncio
 
@@ -7,63 +7,76 @@
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.messages import Position
 from chivescale.relay._endpoint import Endpoint, Service
-from chivescale.relay._returns import Returns
-from chivescale.relay._work import Work, refusal_of
+from chivescale.relay._release import ConnectionReleaser
+from chivescale.relay._request import StatementRequest, failure_from
 
-# A sample of the primary's position is renewed in the background once it
-# has used this share of the accepted staleness.
-RENEW_SHARE = 0.6
-# Longest wait for a position of the primary.
+# A confirmed position is refreshed in the background when its age exceeds
+# this fraction of the accepted staleness.
+REFRESH_FRACTION = 0.6
+# Maximum wait for the position of the primary.
 BARRIER_TIMEOUT_S = 0.25
-# Endpoints that are asked whether they lead.
-MAX_ASKED = 4
+# Maximum number of primary candidates queried per confirmation.
+MAX_PRIMARIES_QUERIED = 4
 
 
-class Proofs:
-    """Asks primaries for their position; one question serves all reads.
+class ReadBarriers:
+    """Queries primaries for their position and shares the result among reads.
 
     Parameters
     ----------
-    returns : Returns
-        Takes the links of the questions back.
+    releaser : ConnectionReleaser
+        Returns the connections used for queries to their pools.
+
+    Attributes
+    ----------
+    pending : dict of str to asyncio.Task
+        Latest query by service.
     """
 
-    def __init__(self, returns: Returns):
-        self.returns = returns
-        self.barriers: dict[str, asyncio.Task] = {}
+    def __init__(self, releaser: ConnectionReleaser):
+        self.releaser = releaser
+        self.pending: dict[str, asyncio.Task] = {}
 
-    async def required(
-        self, service: Service, route: Route, arrived_at: float, work: Work
+    async def required_position(
+        self,
+        service: Service,
+        route: Route,
+        arrived_at: float,
+        request: StatementRequest,
     ) -> Position | Failure:
-        """Return the position that a read has to include."""
+        """Return the position that a read must observe."""
         staleness_s = route.accepted_staleness_ms / 1000
-        sample = service.sample
-        if not sample.covers(arrived_at, staleness_s):
-            failure = await self.barrier(service)
-            if not sample.covers(arrived_at, staleness_s):
+        confirmed = service.confirmed
+        if not confirmed.covers(arrived_at, staleness_s):
+            failure = await self.confirm_position(service)
+            if not confirmed.covers(arrived_at, staleness_s):
                 return failure or Failure(
-                    ErrorKind.FRESHNESS_UNPROVED, "no sample of the primary"
+                    ErrorKind.FRESHNESS_UNPROVED,
+                    "no position confirmed by the primary",
                 )
-        elif sample.age_s(arrived_at) > RENEW_SHARE * staleness_s:
-            self.start_barrier(service)
-        work.proof_age_s = sample.age_s(arrived_at)
-        need = sample.position
-        own = work.session.positions.get(service.name)
-        if route.consistency is Consistency.SESSION and own is not None:
-            need = max(need, own)
-        work.need = need
-        return need
-
-    def start_barrier(self, service: Service) -> asyncio.Task:
-        """Ask the primary for its position; one question at a time."""
-        task = self.barriers.get(service.name)
+        elif confirmed.age_s(arrived_at) > REFRESH_FRACTION * staleness_s:
+            self.start_confirmation(service)
+        request.proof_age_s = confirmed.age_s(arrived_at)
+        min_position = confirmed.position
+        session_position = request.session.positions.get(service.name)
+        if (
+            route.consistency is Consistency.SESSION
+            and session_position is not None
+        ):
+            min_position = max(min_position, session_position)
+        request.min_position = min_position
+        return min_position
+
+    def start_confirmation(self, service: Service) -> asyncio.Task:
+        """Query the primary unless a query for the service is running."""
+        task = self.pending.get(service.name)
         if task is None or task.done():
-            task = asyncio.ensure_future(self._ask_position(service))
-            self.barriers[service.name] = task
+            task = asyncio.ensure_future(self._query_primary(service))
+            self.pending[service.name] = task
         return task
 
-    async def barrier(self, service: Service) -> Failure | None:
-        task = self.start_barrier(service)
+    async def confirm_position(self, service: Service) -> Failure | None:
+        task = self.start_confirmation(service)
         try:
             async with asyncio.timeout(BARRIER_TIMEOUT_S):
                 return await asyncio.shield(task)
@@ -71,39 +84,43 @@
             reason = "the primary did not tell its position in time"
             return Failure(ErrorKind.FRESHNESS_UNPROVED, reason)
 
-    async def _ask_position(self, service: Service) -> Failure | None:
-        failure = no_primary(service)
-        for endpoint in service.primaries(now())[:MAX_ASKED]:
-            link = await endpoint.pool.acquire(0, BARRIER_TIMEOUT_S, {}, None)
-            if is_failure(link):
-                failure = link
+    async def _query_primary(self, service: Service) -> Failure | None:
+        failure = no_primary_failure(service)
+        for endpoint in service.primary_candidates(now())[
+            :MAX_PRIMARIES_QUERIED
+        ]:
+            connection = await endpoint.pool.acquire(
+                0, BARRIER_TIMEOUT_S, {}, None
+            )
+            if is_failure(connection):
+                failure = connection
                 continue
             sent_at = now()
-            dialect = link.dialect
+            dialect = connection.dialect
             data = dialect.query("", dialect.begin_text(False, None))
             data += dialect.query("", dialect.rollback_text())
-            replies = await link.exchange(data, 2, BARRIER_TIMEOUT_S)
-            self.returns.release(endpoint, link)
+            replies = await connection.exchange(data, 2, BARRIER_TIMEOUT_S)
+            self.releaser.release(endpoint, connection)
             if is_failure(replies):
                 failure = replies
-                note_silence(endpoint, replies)
+                suspect_on_timeout(endpoint, replies)
                 continue
-            failure = refusal_of(replies[0])
+            failure = failure_from(replies[0])
             if failure is None:
-                service.note_lead(endpoint, replies[0].position, sent_at)
+                service.record_primary(endpoint, replies[0].position, sent_at)
                 return None
             if failure.kind is ErrorKind.ENDPOINT_READ_ONLY:
-                service.note_refusal(endpoint)
+                service.record_not_primary(endpoint)
         return failure
 
 
-def note_silence(endpoint: Endpoint, failure: Failure) -> None:
-    """Check an endpoint that did not answer what takes no slot."""
+def suspect_on_timeout(endpoint: Endpoint, failure: Failure) -> None:
+    """Suspect an endpoint that timed out on a request that needs no slot."""
     if failure.kind is ErrorKind.TIMEOUT:
         endpoint.suspect(failure.reason)
 
 
-def no_primary(service: Service) -> Failure:
-    """Return the refusal while no primary is known."""
+def no_primary_failure(service: Service) -> Failure:
+    """Return the failure if no primary is known."""
     reason = f"no primary of {service.name} is known"
     return Failure(ErrorKind.NO_PRIMARY, reason)
--- a/chivescale/relay/_release.py
+++ b/chivescale/relay/_release.py
@@ -1,4 +1,4 @@
-"""Returns links to their pools, outside any transaction."""
+"""Returns connections to their pools after rolling back transactions."""
 
 import asyncio
 
@@ -8,44 +8,48 @@
 from chivescale.relay._endpoint import Endpoint
 from chivescale.telemetry import log_event
 
-# A rollback waits for the statement before it.
+# A rollback waits until the preceding statement has finished.
 ROLLBACK_TIMEOUT_S = 1.0
 
 
-class Returns:
-    """Takes links back from statements; rolls back what is still open.
+class ConnectionReleaser:
+    """Releases connections and rolls back their open transactions.
 
     Attributes
     ----------
     tasks : set of asyncio.Task
-        Rollbacks under way.
+        Running rollbacks.
     """
 
     def __init__(self):
         self.tasks: set[asyncio.Task] = set()
 
-    def release(self, endpoint: Endpoint, link: Link) -> None:
-        """Return a link; one that is inside a transaction is rolled back."""
-        if link.usable and link.state is not TransactionState.IDLE:
-            self.roll_back(endpoint, link)
+    def release(self, endpoint: Endpoint, connection: Link) -> None:
+        """Return a connection; roll back its transaction if one is open."""
+        if connection.usable and connection.state is not TransactionState.IDLE:
+            self.roll_back(endpoint, connection)
         else:
-            endpoint.pool.release(link)
+            endpoint.pool.release(connection)
 
-    def roll_back(self, endpoint: Endpoint, link: Link) -> None:
-        task = asyncio.ensure_future(self._end_transaction(endpoint, link))
+    def roll_back(self, endpoint: Endpoint, connection: Link) -> None:
+        task = asyncio.ensure_future(
+            self._roll_back_and_release(endpoint, connection)
+        )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _end_transaction(self, endpoint: Endpoint, link: Link) -> None:
-        if link.usable:
-            text = link.dialect.rollback_text()
-            reply = await link.statement(text, ROLLBACK_TIMEOUT_S)
+    async def _roll_back_and_release(
+        self, endpoint: Endpoint, connection: Link
+    ) -> None:
+        if connection.usable:
+            text = connection.dialect.rollback_text()
+            reply = await connection.statement(text, ROLLBACK_TIMEOUT_S)
             if is_failure(reply) or reply.state is not TransactionState.IDLE:
-                link.abort()
+                connection.abort()
                 log_event(
                     "rollback_failed",
                     "warning",
                     endpoint=endpoint.beat.endpoint,
                     reason=reply.reason if is_failure(reply) else "still open",
                 )
-        endpoint.pool.release(link)
+        endpoint.pool.release(connection)
