--- a/chivescale/relay/_request.py
+++ b/chivescale/relay/_request.py
@@ -1,4 +1,4 @@
-"""One statement of a caller on its way to an endpoint and back."""
+"""Statement of a client with the context of its execution."""
 
 import msgspec
 
@@ -7,42 +7,42 @@
 from chivescale.dialect import Reply, Statement, StatementKind
 from chivescale.errors import ErrorKind, Failure
 from chivescale.messages import Position
-from chivescale.relay._prepare import Definition
+from chivescale.relay._prepare import PreparedStatement
 
-# Part of the target latency for which a statement waits for a free link.
-# Later it would hardly be answered in time, and the caller can try again.
-LINK_WAIT_SHARE = 0.5
-# Shortest time that is worth an attempt.
-MIN_ATTEMPT_S = 0.005
+# Fraction of the latency goal for which a statement waits for a connection.
+# After a longer wait it could hardly meet the goal; the client can retry.
+CONNECTION_WAIT_FRACTION = 0.5
+# No attempt is started with less time left than this.
+MIN_ATTEMPT_TIME_S = 0.005
 
 
-class Work(msgspec.Struct):
-    """A statement and what its execution needs.
+class StatementRequest(msgspec.Struct):
+    """Statement with the context and the record of its execution.
 
     Attributes
     ----------
     statement : Statement
-        As the caller sent it.
+        Statement as sent by the client.
     route : Route
-        Route in force for it.
+        Route in force for the statement.
     arrived_at : float
-        When it arrived.
+        Time at which the statement arrived.
     writes : bool
-        Whether it may write.
-    definition : Definition or None
-        Prepared statement that it executes.
-    session : CallerSession
-        Caller.
+        Whether the statement may write.
+    definition : PreparedStatement or None
+        Prepared statement to execute.
+    session : ClientSession or ForwardedSession
+        Session that sent the statement.
     attempts : int
-        Endpoints that it was offered to.
+        Number of execution attempts.
     endpoint : str
-        Endpoint that it was sent to last; empty if it never left.
+        Endpoint to which it was sent last; empty if it was not sent.
     gateway : str
-        Host that it was forwarded to last; empty if none.
-    need : Position or None
-        Position that its log had to hold.
+        Gateway to which it was forwarded last; empty if none.
+    min_position : Position or None
+        Position that the log of the endpoint had to contain.
     proof_age_s : float
-        Age of the proof of that position; negative without one.
+        Age of the confirmation of that position; negative without one.
     """
 
     statement: Statement
@@ -50,49 +50,54 @@
     arrived_at: float
     writes: bool
     session: object
-    definition: Definition | None = None
+    definition: PreparedStatement | None = None
     attempts: int = 0
     endpoint: str = ""
     gateway: str = ""
-    need: Position | None = None
+    min_position: Position | None = None
     proof_age_s: float = -1.0
 
     @property
-    def revocable(self) -> bool:
-        """Whether ending the statement early leaves nothing behind."""
+    def abortable(self) -> bool:
+        """Whether the statement can be aborted without side effects."""
         if self.statement.kind is StatementKind.COMMIT:
             return False
         return not self.writes or self.session.transaction is not None
 
-    def left_s(self, time: float) -> float:
-        """Return the time left for an answer."""
-        limit = self.route.statement_timeout_ms / 1000
-        return self.arrived_at + limit - time
+    def remaining_s(self, time: float) -> float:
+        """Return the time left within the statement timeout."""
+        timeout_s = self.route.statement_timeout_ms / 1000
+        return self.arrived_at + timeout_s - time
 
-    def link_wait_s(self, time: float) -> float:
-        """Return the longest useful wait for a link."""
-        wait = self.route.latency_goal_ms / 1000 * LINK_WAIT_SHARE
-        left = self.arrived_at + wait - time
-        return max(MIN_ATTEMPT_S, min(left, self.left_s(time)))
+    def connection_wait_s(self, time: float) -> float:
+        """Return the maximum useful wait for a connection."""
+        max_wait_s = (
+            self.route.latency_goal_ms / 1000 * CONNECTION_WAIT_FRACTION
+        )
+        wait_s = self.arrived_at + max_wait_s - time
+        return max(MIN_ATTEMPT_TIME_S, min(wait_s, self.remaining_s(time)))
 
-    def goal_left_s(self, time: float) -> float:
-        """Return the time left for an answer within the latency goal."""
-        goal = self.arrived_at + self.route.latency_goal_ms / 1000
-        return min(goal - time, self.left_s(time))
+    def goal_remaining_s(self, time: float) -> float:
+        """Return the time left within the latency goal."""
+        goal_at = self.arrived_at + self.route.latency_goal_ms / 1000
+        return min(goal_at - time, self.remaining_s(time))
 
     def expired(self) -> Failure | None:
-        """Return a refusal if there is no time for another attempt."""
-        if self.left_s(now()) > MIN_ATTEMPT_S:
+        """Return a failure if there is no time for another attempt."""
+        if self.remaining_s(now()) > MIN_ATTEMPT_TIME_S:
             return None
-        reason = f"{self.route.statement_timeout_ms} ms have passed"
+        reason = (
+            f"statement timeout of {self.route.statement_timeout_ms} ms"
+            " exceeded"
+        )
         return Failure(ErrorKind.DEADLINE_NOT_STARTED, reason)
 
 
 Outcome = Reply | Failure
 
 
-def refusal_of(reply: Reply) -> Failure | None:
-    """Return the error of an endpoint as a failure."""
+def failure_from(reply: Reply) -> Failure | None:
+    """Return the error in a reply as a failure, or None."""
     if reply.refusal is None:
         return None
     return Failure(reply.refusal.kind, reply.refusal.detail)
--- a/chivescale/relay/_session.py
+++ b/chivescale/relay/_session.py
@@ -1,4 +1,4 @@
-"""One caller's connection."""
+"""Session of a client connected to the entry host."""
 
 import asyncio
 import collections
@@ -16,18 +16,18 @@
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.lines import LineChannel
 from chivescale.messages import Position
-from chivescale.relay._prepare import Definition
+from chivescale.relay._prepare import PreparedStatement
+from chivescale.relay._request import StatementRequest
 from chivescale.relay._transaction import Transaction
-from chivescale.relay._work import Work
 from chivescale.telemetry import log_decision, log_event
 
-# A caller that sends more statements without waiting is cut off.
-MAX_QUEUED = 64
-# Bounds the memory of one session.
-MAX_VALUES = 200
-MAX_DEFINITIONS = 1000
-# A caller's statement that takes this long in a transaction is not idle.
-RUNNING_KINDS = frozenset(
+# A client that pipelines more statements than this is disconnected.
+MAX_QUEUED_STATEMENTS = 64
+# Limits on the memory used by one session.
+MAX_SESSION_VALUES = 200
+MAX_PREPARED_PER_SESSION = 1000
+# Statements that run on an endpoint.
+ENDPOINT_STATEMENT_KINDS = frozenset(
     {
         StatementKind.READ,
         StatementKind.WRITE,
@@ -36,26 +36,26 @@
 )
 
 
-class CallerSession:
-    """State of a caller's session; statements are handled in order.
+class ClientSession:
+    """Session of a client; statements are handled in order.
 
     Parameters
     ----------
     host : RelayHost
-        Owner.
+        Host that executes the statements.
     dialect : CallerDialect
-        How the caller speaks.
+        Codec for messages of the client.
 
     Attributes
     ----------
     database : str
-        Database that the session was opened for; empty before.
+        Database of the session; empty until the session is open.
     values : dict of str to str
-        Session values acknowledged to the caller.
-    definitions : dict of str to Definition
-        Statements prepared by the caller, under its names.
+        Session variables acknowledged to the client.
+    prepared_statements : dict of str to PreparedStatement
+        Prepared statements by the name that the client chose.
     positions : dict of str to Position
-        Last commit of the session, by service.
+        Position of the last commit of the session, by service.
     transaction : Transaction or None
         Open or failed transaction.
     """
@@ -64,12 +64,12 @@
         self.host = host
         self.dialect = dialect
         self.channel = LineChannel(
-            self._on_line, self._on_lost, dialect.max_message_bytes
+            self._on_line, self._on_disconnect, dialect.max_message_bytes
         )
         self.opened_at = now()
         self.database = ""
         self.values: dict[str, str] = {}
-        self.definitions: dict[str, Definition] = {}
+        self.prepared_statements: dict[str, PreparedStatement] = {}
         self.positions: dict[str, Position] = {}
         self.transaction: Transaction | None = None
         self.queue: collections.deque[tuple[Statement, float]] = (
@@ -80,7 +80,7 @@
 
     @property
     def state(self) -> TransactionState:
-        """State that the caller is told."""
+        """Transaction state reported to the client."""
         if self.transaction is None:
             return TransactionState.IDLE
         if self.transaction.failed:
@@ -92,8 +92,8 @@
         """Whether no statement runs and no transaction is open."""
         return self.worker is None and self.transaction is None
 
-    def note_commit(self, service: str, position: Position | None) -> None:
-        """Note a commit that later reads of the session must include."""
+    def record_commit(self, service: str, position: Position | None) -> None:
+        """Record a commit that later reads of the session must observe."""
         if position is None:
             return
         known = self.positions.get(service)
@@ -108,18 +108,18 @@
             case Statement() if self.database:
                 self._enqueue(message)
             case OpenSession(database) if not self.database:
-                self._open(database)
+                self._on_open_session(database)
             case Terminate():
                 self.channel.close()
-                self._end("ended by the caller")
+                self._mark_closed("closed by the client")
             case Failure():
-                self._refuse_input(message)
+                self._reject_message(message)
             case _:
-                reason = "message does not fit the state of the session"
-                self._refuse_input(Failure(ErrorKind.BAD_REQUEST, reason))
+                reason = "message not allowed in the state of the session"
+                self._reject_message(Failure(ErrorKind.BAD_REQUEST, reason))
 
-    def _refuse_input(self, failure: Failure) -> None:
-        """Answer what cannot be read; before the start, close as well."""
+    def _reject_message(self, failure: Failure) -> None:
+        """Report an invalid message; close a session that is not yet open."""
         log_decision(
             "caller_message_invalid", "warning", reason=failure.reason
         )
@@ -129,21 +129,21 @@
         if not opened:
             self.close()
 
-    def _open(self, database: str) -> None:
+    def _on_open_session(self, database: str) -> None:
         if self.host.starting:
-            # The configuration is on its way; a refusal would only make
-            # every caller come back at once.
+            # The first configuration is about to arrive. A refusal would make
+            # all clients reconnect immediately.
             self.host.waiting_sessions.append((self, database))
             return
-        self.greet(database)
+        self.accept(database)
 
-    def greet(self, database: str) -> None:
-        """Accept or refuse the session."""
+    def accept(self, database: str) -> None:
+        """Open the session, or refuse it if the database has no route."""
         if self.closed:
             return
-        route = self.host.route_of(database)
+        route = self.host.find_route(database)
         if is_failure(route):
-            self.host.count_refusal(route)
+            self.host.record_refused_session(route)
             self.channel.send(self.dialect.encode_failure(route, None))
             self.close()
             return
@@ -151,21 +151,21 @@
         self.channel.send(self.dialect.encode_ready(self.state))
 
     def _enqueue(self, statement: Statement) -> None:
-        if len(self.queue) >= MAX_QUEUED:
+        if len(self.queue) >= MAX_QUEUED_STATEMENTS:
             self.close()
             return
         self.queue.append((statement, now()))
         if self.transaction is not None:
             self.transaction.stop_timer()
         if self.worker is None:
-            self.worker = asyncio.ensure_future(self._work())
+            self.worker = asyncio.ensure_future(self._process_queue())
 
-    async def _work(self) -> None:
+    async def _process_queue(self) -> None:
         try:
             while self.queue and not self.closed:
                 statement, arrived_at = self.queue.popleft()
-                answer = await self._handle(statement, arrived_at)
-                self.channel.send(answer)
+                response = await self._handle(statement, arrived_at)
+                self.channel.send(response)
         except Exception as err:
             log_event("session_failed", "error", error=repr(err))
             self.close()
@@ -182,18 +182,20 @@
         transaction = self.transaction
         kind = statement.kind
         if transaction is not None and transaction.failed:
-            return self._end_failed(transaction, kind)
-        if kind in RUNNING_KINDS:
+            return self._handle_in_failed_transaction(transaction, kind)
+        if kind in ENDPOINT_STATEMENT_KINDS:
             return await self._run(statement, arrived_at)
         if kind is StatementKind.COMMIT:
             return await self._commit(statement, arrived_at)
-        failure = self._keep(statement, arrived_at)
+        failure = self._handle_locally(statement, arrived_at)
         if failure is not None:
             return self.dialect.encode_failure(failure, self.state)
         return self.dialect.encode_done(self.state)
 
-    def _keep(self, statement: Statement, arrived_at: float) -> Failure | None:
-        """Handle a statement that needs no endpoint."""
+    def _handle_locally(
+        self, statement: Statement, arrived_at: float
+    ) -> Failure | None:
+        """Handle a statement that does not need an endpoint."""
         match statement.kind:
             case StatementKind.BEGIN | StatementKind.BEGIN_READ_ONLY:
                 return self._begin(statement, arrived_at)
@@ -204,15 +206,15 @@
             case StatementKind.PREPARE:
                 return self._prepare(statement)
             case StatementKind.DEALLOCATE:
-                if self.definitions.pop(statement.name, None) is None:
-                    return _unknown_name(statement.name)
+                if self.prepared_statements.pop(statement.name, None) is None:
+                    return _unknown_statement_failure(statement.name)
         return None
 
     def _begin(self, statement, arrived_at: float) -> Failure | None:
         if self.transaction is not None:
-            reason = "a transaction is open already"
+            reason = "a transaction is already open"
             return Failure(ErrorKind.BAD_REQUEST, reason)
-        route = self.host.route_of(self.database)
+        route = self.host.find_route(self.database)
         if is_failure(route):
             return route
         read_only = statement.kind is StatementKind.BEGIN_READ_ONLY
@@ -226,72 +228,78 @@
         return None
 
     def _set_value(self, statement: Statement) -> Failure | None:
-        if len(self.values) >= MAX_VALUES and (
+        if len(self.values) >= MAX_SESSION_VALUES and (
             statement.name not in self.values
         ):
-            reason = f"more than {MAX_VALUES} session values"
+            reason = f"more than {MAX_SESSION_VALUES} session variables"
             return Failure(ErrorKind.BAD_REQUEST, reason)
         self.values[statement.name] = statement.argument
         return None
 
     def _prepare(self, statement: Statement) -> Failure | None:
-        if len(self.definitions) >= MAX_DEFINITIONS:
-            reason = f"more than {MAX_DEFINITIONS} prepared statements"
+        if len(self.prepared_statements) >= MAX_PREPARED_PER_SESSION:
+            reason = (
+                f"more than {MAX_PREPARED_PER_SESSION} prepared statements"
+            )
             return Failure(ErrorKind.BAD_REQUEST, reason)
-        self.definitions[statement.name] = Definition(
+        self.prepared_statements[statement.name] = PreparedStatement(
             statement.writes, statement.argument
         )
         return None
 
-    def _end_failed(self, transaction, kind: StatementKind) -> bytes:
-        """Answer within a transaction that is rolled back already."""
+    def _handle_in_failed_transaction(
+        self, transaction, kind: StatementKind
+    ) -> bytes:
+        """Respond to a statement of a transaction already rolled back."""
         if kind is StatementKind.ROLLBACK:
             self._release_transaction()
             return self.dialect.encode_done(self.state)
         if kind is StatementKind.COMMIT:
             self._release_transaction()
-            reason = "the transaction had failed before"
+            reason = "the transaction has failed and was rolled back"
             failure = Failure(ErrorKind.TRANSACTION_ABORTED, reason)
             return self.dialect.encode_failure(failure, self.state)
-        reason = "the transaction has failed and has to be ended"
+        reason = "the transaction has failed and must be rolled back"
         failure = Failure(ErrorKind.TRANSACTION_FAILED, reason)
         return self.dialect.encode_failure(failure, self.state)
 
-    def _work_for(
+    def _make_request(
         self, statement: Statement, route: Route, arrived_at: float
-    ) -> Work | Failure:
+    ) -> StatementRequest | Failure:
         definition = None
         writes = statement.kind is StatementKind.WRITE
         if statement.kind is StatementKind.EXECUTE:
-            definition = self.definitions.get(statement.name)
+            definition = self.prepared_statements.get(statement.name)
             if definition is None:
-                return _unknown_name(statement.name)
+                return _unknown_statement_failure(statement.name)
             writes = definition.writes
-        return Work(statement, route, arrived_at, writes, self, definition)
+        return StatementRequest(
+            statement, route, arrived_at, writes, self, definition
+        )
 
     async def _run(self, statement: Statement, arrived_at: float) -> bytes:
         transaction = self.transaction
         route = transaction.route if transaction else None
         if route is None:
-            route = self.host.route_of(self.database)
-        work = (
+            route = self.host.find_route(self.database)
+        request = (
             route
             if is_failure(route)
-            else self._work_for(statement, route, arrived_at)
+            else self._make_request(statement, route, arrived_at)
         )
-        if is_failure(work):
-            outcome = work
+        if is_failure(request):
+            outcome = request
             if transaction is not None:
                 self.host.executor.abandon(transaction)
         elif transaction is not None:
             outcome = await self.host.executor.run_in_transaction(
-                transaction, work
+                transaction, request
             )
             if is_failure(outcome):
                 self.host.executor.abandon(transaction)
         else:
-            outcome = await self.host.executor.run_single(work)
-        return self._answer(statement, arrived_at, outcome, work)
+            outcome = await self.host.executor.run_single(request)
+        return self._finish_statement(statement, arrived_at, outcome, request)
 
     async def _commit(self, statement: Statement, arrived_at: float) -> bytes:
         transaction = self.transaction
@@ -299,29 +307,33 @@
             reason = "no transaction is open"
             failure = Failure(ErrorKind.BAD_REQUEST, reason)
             return self.dialect.encode_failure(failure, self.state)
-        work = self._work_for(statement, transaction.route, arrived_at)
-        outcome = await self.host.executor.commit(transaction, work)
+        request = self._make_request(statement, transaction.route, arrived_at)
+        outcome = await self.host.executor.commit(transaction, request)
         self._release_transaction()
-        return self._answer(statement, arrived_at, outcome, work)
+        return self._finish_statement(statement, arrived_at, outcome, request)
 
-    def _answer(self, statement, arrived_at, outcome, work) -> bytes:
-        self.host.note_outcome(self, statement, arrived_at, outcome, work)
+    def _finish_statement(
+        self, statement, arrived_at, outcome, request
+    ) -> bytes:
+        self.host.record_outcome(self, statement, arrived_at, outcome, request)
         if is_failure(outcome):
             return self.dialect.encode_failure(outcome, self.state)
         return self.dialect.encode_reply(outcome, self.state)
 
-    # End.
+    # Closing.
 
     def _start_timer(self) -> None:
         limit_ms = self.host.idle_transaction_ms
         if limit_ms and not self.transaction.failed:
             loop = asyncio.get_running_loop()
             self.transaction.timer = loop.call_later(
-                limit_ms / 1000, self.abort_idle, "idle for too long"
+                limit_ms / 1000,
+                self.abort_idle_transaction,
+                "idle timeout",
             )
 
-    def abort_idle(self, reason: str) -> None:
-        """Roll back the open transaction of a caller that rests in it."""
+    def abort_idle_transaction(self, reason: str) -> None:
+        """Roll back the open transaction unless a statement is running."""
         transaction = self.transaction
         if transaction is None or transaction.failed or self.worker:
             return
@@ -333,24 +345,24 @@
         if transaction is not None:
             self.host.executor.abandon(transaction)
 
-    def _on_lost(self, reason: str) -> None:
-        self._end(reason)
+    def _on_disconnect(self, reason: str) -> None:
+        self._mark_closed(reason)
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the session and its connection."""
         self.channel.close()
-        self._end("closed by this host")
+        self._mark_closed("closed by this host")
 
-    def _end(self, reason: str) -> None:
+    def _mark_closed(self, reason: str) -> None:
         if self.closed:
             return
         self.closed = True
         self.queue.clear()
         if self.worker is None:
             self._release_transaction()
-        self.host.session_ended(self)
+        self.host.remove_session(self)
 
 
-def _unknown_name(name: str) -> Failure:
-    reason = f"no prepared statement is named {name}"
+def _unknown_statement_failure(name: str) -> Failure:
+    reason = f"no prepared statement named {name}"
     return Failure(ErrorKind.UNKNOWN_STATEMENT, reason)
--- a/chivescale/relay/_transaction.py
+++ b/chivescale/relay/_transaction.py
@@ -1,41 +1,41 @@
-"""An open transaction of a caller."""
+"""Transaction of a client session."""
 
 import asyncio
 
 import msgspec
 
 from chivescale.catalog import Route
-from chivescale.gateway import Peer
+from chivescale.gateway import GatewayClient
 from chivescale.link import Link
 from chivescale.relay._endpoint import Endpoint, Service
 
 
 class Transaction(msgspec.Struct):
-    """A transaction from its begin to its end.
+    """Open or failed transaction.
 
     Attributes
     ----------
     route : Route
-        In force when it began.
+        Route in force when the transaction began.
     read_only : bool
-        Whether the caller began it for reads only.
+        Whether the client began it as read-only.
     arrived_at : float
-        When the begin arrived.
-    service : Service or None
-        Set together with `link` and `endpoint` by the first statement
-        that needs an endpoint.
-    leads : bool
-        Whether it runs as a transaction that only a primary accepts.
+        Time at which the begin arrived.
+    service, endpoint, connection : Service, Endpoint, Link, or None
+        Where the transaction runs. Set by the first statement that needs an
+        endpoint.
+    on_primary : bool
+        Whether it was begun as a transaction that only a primary accepts.
     wrote : bool
         Whether a write was sent.
-    peer : Peer or None
-        Gateway that runs it, if another host does.
-    number : int
-        Identifies it on the connection to the gateway.
+    peer : GatewayClient or None
+        Gateway that runs the transaction; None if it runs locally.
+    gateway_transaction_id : int
+        Identifies the transaction on the connection to the gateway.
     failed : bool
-        Whether it is rolled back; the caller still has to end it.
+        Whether it was rolled back and the client has not ended it yet.
     timer : asyncio.TimerHandle or None
-        Ends it when it is idle for too long.
+        Idle timeout.
     """
 
     route: Route
@@ -43,24 +43,28 @@
     arrived_at: float
     service: Service | None = None
     endpoint: Endpoint | None = None
-    link: Link | None = None
-    leads: bool = False
+    connection: Link | None = None
+    on_primary: bool = False
     wrote: bool = False
-    peer: Peer | None = None
-    number: int = 0
+    peer: GatewayClient | None = None
+    gateway_transaction_id: int = 0
     failed: bool = False
     timer: asyncio.TimerHandle | None = None
 
     def attach(
-        self, service: Service, endpoint: Endpoint, link: Link, leads: bool
+        self,
+        service: Service,
+        endpoint: Endpoint,
+        connection: Link,
+        on_primary: bool,
     ) -> None:
-        """Note where the transaction was begun."""
+        """Record where the transaction was begun."""
         self.service = service
-        self.endpoint, self.link = endpoint, link
-        self.leads = leads
+        self.endpoint, self.connection = endpoint, connection
+        self.on_primary = on_primary
 
     def stop_timer(self) -> None:
-        """Cancel the idle time-out."""
+        """Cancel the idle timeout."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/chivescale/relay/tests/steps/load_steps.py
+++ b/chivescale/relay/tests/steps/load_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the relay's decisions, with fakes in place of connections."""
+"""Steps for decisions of the relay, with fake connections."""
 
 import asyncio
 import random
@@ -13,18 +13,18 @@
 from chivescale.messages import Position
 from chivescale.registry import EndpointBeat
 from chivescale.relay import _pool
-from chivescale.relay._endpoint import Endpoint, Running, Service
+from chivescale.relay._endpoint import Endpoint, InFlightStatement, Service
 from chivescale.relay._executor import Executor
-from chivescale.relay._freshness import PrimarySample
-from chivescale.relay._host import shares
-from chivescale.relay._pool import LinkPool
-from chivescale.relay._reachability import Reachability
+from chivescale.relay._freshness import ConfirmedPosition
+from chivescale.relay._host import connection_shares
+from chivescale.relay._isolation import IsolationMonitor
+from chivescale.relay._pool import ConnectionPool
 
 LONG_AGO_S = 100.0
 
 
-class FakeLink:
-    """Counts what happens to a link."""
+class FakeConnection:
+    """Connection that records whether it was closed."""
 
     def __init__(self):
         self.usable = True
@@ -39,14 +39,14 @@
 
 
 def endpoint(name: str, zone: str = "near", slots: int = 2) -> Endpoint:
-    beat = EndpointBeat(
+    heartbeat = EndpointBeat(
         name, "ledger", "127.0.0.1:9", zone, slots, False, False, 1, 1
     )
-    return Endpoint(beat, None)
+    return Endpoint(heartbeat, None)
 
 
-def running(started: float, link, revocable: bool) -> Running:
-    return Running(started, link, revocable)
+def running(started: float, connection, abortable: bool) -> InFlightStatement:
+    return InFlightStatement(started, connection, abortable)
 
 
 def make_service(endpoints) -> Service:
@@ -55,7 +55,7 @@
     return service
 
 
-# Choice of endpoints.
+# Endpoint selection.
 
 
 @given("endpoints where {facts}")
@@ -63,27 +63,27 @@
     time = clock.now()
     made = {name: endpoint(name) for name in "ab"}
     service = make_service(made.values())
-    # `b` has refused just now unless the facts say otherwise.
-    made["b"].refused_at = time - 0.1
+    # By default, `b` has just reported not to be the primary.
+    made["b"].not_primary_at = time - 0.1
     for number, fact in enumerate(facts.split(", ")):
         name, what = fact.split(" ", 1)
         at = time - 1.0 + number * 0.1
         match what:
             case "claims" | "claims later":
                 made[name].primary_since = at
-                made[name].refused_at = 0.0
+                made[name].not_primary_at = 0.0
             case "refused":
-                made[name].refused_at = at
-                made[name].refused_at = time - 0.2
+                made[name].not_primary_at = at
+                made[name].not_primary_at = time - 0.2
                 made["a"].primary_since = time - 1.0
             case "suspected":
                 made[name].suspected = True
             case "refused long ago":
-                made[name].refused_at = time - 0.8
-                made["b"].refused_at = time - 0.7
-            case "proved":
-                made[name].refused_at = 0.0
-                service.note_lead(made[name], Position(3, 1), at)
+                made[name].not_primary_at = time - 0.8
+                made["b"].not_primary_at = time - 0.7
+            case "confirmed":
+                made[name].not_primary_at = 0.0
+                service.record_primary(made[name], Position(3, 1), at)
     if "b claims later" in facts:
         made["b"].primary_since = time - 0.05
     context.service = service
@@ -91,7 +91,7 @@
 
 @then("writes go to {order}")
 def writes_go(context, order):
-    found = context.service.primaries(clock.now())
+    found = context.service.primary_candidates(clock.now())
     names = ", ".join(e.beat.endpoint for e in found) or "nothing"
     assert names == order, names
 
@@ -106,17 +106,17 @@
     for text in endpoints.split(", "):
         name, latency, under_way, zone, *flags = text.split(" ")
         one = endpoint(name, zone)
-        one.latency_s, one.measured_at = int(latency) / 1000, time
+        one.latency_s, one.latency_measured_at = int(latency) / 1000, time
         one.position = Position(3, 10)
         for _ in range(int(under_way)):
-            one.running[running(time, FakeLink(), True)] = None
+            one.running[running(time, FakeConnection(), True)] = None
         if "primary" in flags:
             service.primary = name
         if "draining" in flags:
             one.beat = msgspec.structs.replace(one.beat, draining=True)
         if "behind" in flags:
             one.position = Position(3, 2)
-            one.behind_until = time + 1.0
+            one.lagging_until = time + 1.0
         one.suspected = "suspected" in flags
         made.append(one)
     service.endpoints = {e.beat.endpoint: e for e in made}
@@ -124,12 +124,14 @@
 
 @then("a read that needs position {need:d} goes to {choice}")
 def read_goes(context, need, choice):
-    found = context.service.readers(Position(3, need), set(), clock.now())
+    found = context.service.read_candidates(
+        Position(3, need), set(), clock.now()
+    )
     name = found[0].beat.endpoint if found else "nothing"
     assert name == choice, name
 
 
-@when("{seconds:d} s pass without an answer")
+@when("{seconds:d} s pass without a response")
 def no_answer(context, seconds):
     context.time = clock.now() + seconds
 
@@ -149,7 +151,9 @@
     context.endpoint = endpoint("a")
     context.time = clock.now()
     for latency in latencies.split():
-        context.endpoint.note_answer(None, int(latency) / 1000, context.time)
+        context.endpoint.record_response(
+            None, int(latency) / 1000, context.time
+        )
 
 
 @then("it admits {share} of new work")
@@ -164,13 +168,13 @@
 # Pools.
 
 
-@given("a pool with 1 link that is lent")
+@given("a pool with 1 connection that is in use")
 def pool_lent(context):
     async def refuse(timeout_s):
         return Failure(ErrorKind.ENDPOINT_FULL, "full")
 
-    context.pool = LinkPool(refuse)
-    context.link = FakeLink()
+    context.pool = ConnectionPool(refuse)
+    context.connection = FakeConnection()
     context.pool.lent = 1
 
 
@@ -179,20 +183,20 @@
     context.priorities = (2, 1, 2, 0)
 
 
-@when("the link is returned 4 times")
+@when("the connection is returned 4 times")
 def returned(context):
     async def work():
         order = []
 
         async def wait(priority):
-            link = await context.pool.acquire(priority, 5.0, {}, None)
-            assert link is context.link
+            connection = await context.pool.acquire(priority, 5.0, {}, None)
+            assert connection is context.connection
             order.append(priority)
-            context.pool.release(link)
+            context.pool.release(connection)
 
         tasks = [asyncio.ensure_future(wait(p)) for p in context.priorities]
         await asyncio.sleep(0)
-        context.pool.release(context.link)
+        context.pool.release(context.connection)
         await asyncio.gather(*tasks)
         return order
 
@@ -209,31 +213,31 @@
     context.answer = asyncio.run(context.pool.acquire(1, ms / 1000, {}, None))
 
 
-@then("it is refused as overloaded and the link is not lost")
+@then("it fails as overloaded and the connection is not lost")
 def refused(context):
     assert is_failure(context.answer)
     assert context.answer.kind is ErrorKind.OVERLOADED
-    context.pool.release(context.link)
-    assert context.pool.idle == [context.link] and context.pool.lent == 0
+    context.pool.release(context.connection)
+    assert context.pool.idle == [context.connection] and context.pool.lent == 0
 
 
-@given("a pool that may open 4 links of which the endpoint accepts 2")
+@given("a pool that may open 4 connections of which the endpoint accepts 2")
 def pool_limited(context):
     context.attempts = 0
 
-    async def open_new(timeout_s):
+    async def connect(timeout_s):
         context.attempts += 1
         accepted = context.attempts <= 2
         await asyncio.sleep(0)
         if not accepted:
             return Failure(ErrorKind.ENDPOINT_FULL, "full")
-        return FakeLink()
+        return FakeConnection()
 
-    context.pool = LinkPool(open_new)
+    context.pool = ConnectionPool(connect)
     context.pool.limit = 4
 
 
-@when("4 statements ask for a link at once")
+@when("4 statements request a connection at once")
 def four(context):
     async def work():
         ask = [context.pool.acquire(1, 0.2, {}, None) for _ in range(4)]
@@ -244,10 +248,10 @@
 
 @then("2 get one and 2 wait without being refused")
 def two_and_two(context):
-    links = [a for a in context.answers if not is_failure(a)]
-    assert len(links) == 2, context.answers
+    connections = [a for a in context.answers if not is_failure(a)]
+    assert len(connections) == 2, context.answers
     kinds = {a.kind for a in context.answers if is_failure(a)}
-    # They waited for a link to be returned until their time was up.
+    # They waited for a connection to be returned until the timeout.
     assert kinds == {ErrorKind.OVERLOADED}, kinds
 
 
@@ -259,7 +263,7 @@
     assert context.attempts == before, context.attempts
 
 
-@when("a statement asks each {ms:d} ms for {seconds:d} s")
+@when("a statement requests a connection every {ms:d} ms for {seconds:d} s")
 def asks_for_long(context, ms, seconds):
     context.before = context.attempts
     offset = 0.0
@@ -285,26 +289,28 @@
 
 @given("{hosts:d} hosts connected to an endpoint that accepts {accepted:d}")
 def connected_hosts(context, hosts, accepted):
-    context.shares = shares(accepted, hosts)
+    context.connection_shares = connection_shares(accepted, hosts)
 
 
 @then("each keeps {standing:d} and may hold {most:d}")
 def keeps(context, standing, most):
-    assert context.shares == (standing, most), context.shares
+    assert context.connection_shares == (standing, most), (
+        context.connection_shares
+    )
 
 
-@given("a pool whose endpoint cannot be reached")
+@given("a pool whose endpoint is unreachable")
 def unreachable(context):
     context.attempts = 0
 
-    async def open_new(timeout_s):
+    async def connect(timeout_s):
         context.attempts += 1
         return Failure(ErrorKind.CONNECTION_REFUSED, "refused")
 
-    context.pool = LinkPool(open_new)
+    context.pool = ConnectionPool(connect)
 
 
-@when("a statement asks for a link twice")
+@when("a statement requests a connection twice")
 def asks_twice(context):
     async def work():
         return [await context.pool.acquire(1, 1.0, {}, None) for _ in range(2)]
@@ -312,7 +318,7 @@
     context.answers = asyncio.run(work())
 
 
-@then("the second answer comes without another attempt")
+@then("the second request fails without another attempt")
 def no_attempt(context):
     assert [a.kind for a in context.answers] == [
         ErrorKind.CONNECTION_REFUSED
@@ -320,22 +326,22 @@
     assert context.attempts == 1
 
 
-# Silence.
+# Endpoints that do not respond.
 
 
 @given(
     "an endpoint with a read, a write and a statement of a transaction"
-    " under way"
+    " in flight"
 )
 def under_way(context):
     context.endpoint = endpoint("a")
-    context.links = {
-        "read": FakeLink(),
-        "write": FakeLink(),
-        "transaction": FakeLink(),
+    context.connections = {
+        "read": FakeConnection(),
+        "write": FakeConnection(),
+        "transaction": FakeConnection(),
     }
-    for name, link in context.links.items():
-        entry = running(0.0, link, name != "write")
+    for name, connection in context.connections.items():
+        entry = running(0.0, connection, name != "write")
         context.endpoint.running[entry] = None
 
 
@@ -344,74 +350,78 @@
     async def reachable(address, timeout_s):
         return connect == "succeed"
 
-    context.endpoint.reachable = reachable
+    context.endpoint.probe = reachable
 
 
-@when("it answers nothing for {ms:d} ms and {other}")
+@when("they get no reply for {ms:d} ms and {other}")
 def silent_for(context, ms, other):
     time = clock.now()
     context.endpoint.running = {
-        running(time - ms / 1000, each.link, each.revocable): None
+        running(time - ms / 1000, each.link, each.abortable): None
         for each in context.endpoint.running
     }
-    if other == "answered another 200 ms ago":
-        context.endpoint.answered_at = time - 0.2
+    if other == "another reply arrived 200 ms ago":
+        context.endpoint.last_response_at = time - 0.2
 
     async def work():
-        context.endpoint.check_silence(time)
+        context.endpoint.check_timeouts(time)
         await asyncio.sleep(0.01)
-        context.endpoint.check_silence(time)
-        if context.endpoint.trial is not None:
-            context.endpoint.trial.cancel()
+        context.endpoint.check_timeouts(time)
+        if context.endpoint.probe_task is not None:
+            context.endpoint.probe_task.cancel()
 
     asyncio.run(work())
 
 
-@then("it is {state}, and {ended} are ended")
-def state_is(context, state, ended):
+@then("it is {state}, and {aborted} are aborted")
+def state_is(context, state, aborted):
     assert context.endpoint.suspected == (state == "suspected")
     assert context.endpoint.usable(clock.now()) == (state == "trusted")
-    gone = [n for n, link in context.links.items() if not link.usable]
-    assert (", ".join(gone) or "none") == ended, gone
+    gone = [
+        n
+        for n, connection in context.connections.items()
+        if not connection.usable
+    ]
+    assert (", ".join(gone) or "none") == aborted, gone
 
 
-# Reachability.
+# Isolation.
 
 
 @given(
     "a host whose coordinators are {coordinators} and primaries {primaries}"
 )
 def host_given(context, coordinators, primaries):
-    async def reaches(service):
-        return (service, primaries) != ("s2", "partly out")
+    async def can_reach(service):
+        return (service, primaries) != ("s2", "partly unreachable")
 
     host = types.SimpleNamespace(
         by_id={},
         sessions=set(),
-        follower=types.SimpleNamespace(connected=coordinators == "in touch"),
+        follower=types.SimpleNamespace(connected=coordinators == "reachable"),
         catalog=object(),
         max_connections={"s1": 1, "s2": 1},
         executor=types.SimpleNamespace(
-            reaches=reaches, check_silence=lambda time: None
+            can_reach=can_reach, check_timeouts=lambda time: None
         ),
     )
-    context.reachability = Reachability(host)
-    asyncio.run(run_for(context.reachability, 0.25))
+    context.isolation_monitor = IsolationMonitor(host)
+    asyncio.run(run_for(context.isolation_monitor, 0.25))
 
 
-async def run_for(reachability, seconds: float) -> None:
-    task = asyncio.ensure_future(reachability.run())
+async def run_for(isolation_monitor, seconds: float) -> None:
+    task = asyncio.ensure_future(isolation_monitor.run())
     await asyncio.sleep(seconds)
     task.cancel()
 
 
 @then("it is {ready}")
 def readiness(context, ready):
-    cut_off = context.reachability.cut_off_since is not None
+    cut_off = context.isolation_monitor.isolated_since is not None
     assert cut_off == (ready == "not ready")
 
 
-@given("a host that is cut off with 3 resting sessions and 1 in a transaction")
+@given("an isolated host with 3 idle sessions and 1 in a transaction")
 def with_sessions(context):
     sessions = set()
 
@@ -428,13 +438,13 @@
         sessions.add(Session(idle))
     host = types.SimpleNamespace(sessions=sessions)
     context.sessions = sessions
-    context.reachability = Reachability(host)
-    context.reachability.cut_off_since = 50.0
+    context.isolation_monitor = IsolationMonitor(host)
+    context.isolation_monitor.isolated_since = 50.0
 
 
 @when("{seconds:d} s have passed since then")
 def passed(context, seconds):
-    context.reachability.move_sessions(50.0 + seconds)
+    context.isolation_monitor.close_idle_sessions(50.0 + seconds)
 
 
 @then("{count:d} sessions are open")
@@ -446,13 +456,13 @@
 # Freshness.
 
 
-@given("a proof of position {proved} and an own commit at {own}")
-def proof_and_commit(context, proved, own):
+@given("a confirmed position {known} and a session commit at {commit}")
+def confirmed_and_commit(context, known, commit):
     context.service = make_service([])
-    # The proof's question left after the commit was sent and was answered
-    # before the commit, so it covers less although it is newer.
-    context.service.sample.note(position(proved), clock.now())
-    context.own = position(own)
+    # The query for the position was sent after the commit but answered before
+    # it, so its position may be lower although it is newer.
+    context.service.confirmed.record(position(known), clock.now())
+    context.session_position = position(commit)
 
 
 def position(text: str) -> Position:
@@ -472,40 +482,44 @@
         1,
         accepted_staleness_ms=2500,
     )
-    session = types.SimpleNamespace(positions={"ledger": context.own})
+    session = types.SimpleNamespace(
+        positions={"ledger": context.session_position}
+    )
     work = types.SimpleNamespace(session=session)
     executor = Executor(lambda name: context.service)
     found = asyncio.run(
-        executor.proofs.required(context.service, route, clock.now(), work)
+        executor.read_barriers.required_position(
+            context.service, route, clock.now(), work
+        )
     )
     assert found == position(need), found
 
 
-@given("a position that was proven {age:d} ms ago")
+@given("a position that was confirmed {age:d} ms ago")
 def proven(context, age):
-    context.sample = PrimarySample()
-    context.sample.note(Position(3, 10), LONG_AGO_S)
+    context.confirmed = ConfirmedPosition()
+    context.confirmed.record(Position(3, 10), LONG_AGO_S)
     context.now = LONG_AGO_S + age / 1000
 
 
-@given("a position 3.10 that was proven 100 ms ago")
+@given("a position 3.10 that was confirmed 100 ms ago")
 def proven_before(context):
-    context.sample = PrimarySample()
-    context.sample.note(Position(3, 10), LONG_AGO_S - 0.1)
+    context.confirmed = ConfirmedPosition()
+    context.confirmed.record(Position(3, 10), LONG_AGO_S - 0.1)
 
 
-@when("an answer arrives with position 3.8 of a statement sent 200 ms ago")
+@when("a reply arrives with position 3.8 of a statement sent 200 ms ago")
 def late_answer(context):
-    context.sample.note(Position(3, 8), LONG_AGO_S - 0.2)
+    context.confirmed.record(Position(3, 8), LONG_AGO_S - 0.2)
 
 
-@then("the proven position is 3.10")
+@then("the confirmed position is 3.10")
 def position_is(context):
-    assert context.sample.position == Position(3, 10)
+    assert context.confirmed.position == Position(3, 10)
 
 
-@then("a read that accepts {staleness:d} ms {verdict} rely on it")
+@then("a read with accepted staleness {staleness:d} ms {verdict} use it")
 def may_rely(context, staleness, verdict):
-    # Binary fractions: compare with a tenth of a millisecond to spare.
-    covers = context.sample.covers(context.now - 1e-4, staleness / 1000)
+    # Floating point: compare with a margin of 0.1 ms.
+    covers = context.confirmed.covers(context.now - 1e-4, staleness / 1000)
     assert covers == (verdict == "may"), context.now
