--- /dev/null
+++ b/chivescale/relay/_coordinator_watcher.py
@@ -0,0 +1,248 @@
+"""Watches a coordinator for changes of configuration, endpoints and hosts."""
+
+import asyncio
+import zlib
+
+from chivescale.catalog import Catalog
+from chivescale.clock import now
+from chivescale.errors import ErrorKind, is_failure
+from chivescale.link import open_link
+from chivescale.messages import (
+    Done,
+    EntryHostRecord,
+    OpinionReport,
+    WatchAnswer,
+    WatchRequest,
+    decode,
+)
+from chivescale.telemetry import log_event
+
+# Maximum time for which a coordinator holds a long poll.
+LONG_POLL_MS = 700
+# Time allowed for the response in addition to the hold time.
+LONG_POLL_MARGIN_S = 0.4
+# A coordinator without contact to a quorum for longer than this may not know
+# the configuration in force; another one is used.
+MAX_COORDINATOR_STALENESS_S = 0.5
+RETRY_DELAY_S = 0.1
+# Minimum interval between attempts to return to the coordinator of the own
+# zone.
+SAME_ZONE_RETRY_S = 5.0
+# A suspected endpoint is reported as reachable if it responds within this
+# time, or has responded no longer ago than this.
+REACHABILITY_TIMEOUT_S = 0.15
+
+
+class CoordinatorWatcher:
+    """Long-polls one coordinator and fails over to another one.
+
+    Parameters
+    ----------
+    host : RelayHost
+        Host that receives the updates.
+
+    Attributes
+    ----------
+    coordinators : list of str
+        Addresses of the known coordinators.
+    boot : str
+        Boot identifier of the coordinator to which the revisions refer.
+    long_poll : bool
+        Whether the next request may be held; False right after a switch, so
+        that the new coordinator responds immediately.
+    """
+
+    def __init__(self, host):
+        self.host = host
+        self.coordinators: list[str] = list(host.settings.seeds)
+        self.current_index = 0
+        self.boot = ""
+        self.revision = -1
+        self.hosts_revision = -1
+        self.suspects: tuple[str, ...] = ()
+        self.leader = ""
+        self.connected = False
+        self.last_updated_at = now()
+        self.retry_same_zone_at = 0.0
+        self.long_poll = False
+        self.tasks: set[asyncio.Task] = set()
+
+    async def run(self) -> None:
+        """Poll until cancelled."""
+        self.host.rng.shuffle(self.coordinators)
+        while True:
+            address = self.coordinators[
+                self.current_index % len(self.coordinators)
+            ]
+            response = await self._poll(address)
+            if is_failure(response):
+                self._set_connected(False, address, response.reason)
+                self._switch_coordinator()
+                await asyncio.sleep(RETRY_DELAY_S)
+                continue
+            self._apply_response(response)
+            if response.age_s > MAX_COORDINATOR_STALENESS_S:
+                reason = f"no contact to a quorum for {response.age_s:.3g} s"
+                self._set_connected(False, address, reason)
+                self._switch_coordinator()
+                await asyncio.sleep(RETRY_DELAY_S)
+                continue
+            self.last_updated_at = now() - response.age_s
+            self._set_connected(True, address, "")
+            self.long_poll = True
+
+    async def _poll(self, address: str):
+        catalog, settings = self.host.catalog, self.host.settings
+        request = WatchRequest(
+            host=EntryHostRecord(
+                settings.name, settings.zone, settings.gateway_address
+            ),
+            leaving=self.host.stopping,
+            hosts_revision=self.hosts_revision,
+            boot=self.boot,
+            revision=self.revision,
+            version=catalog.version if catalog else -1,
+            suspects=self.suspects,
+            wait_ms=LONG_POLL_MS if self.long_poll else 0,
+        )
+        return await self.host.http_client.call(
+            address,
+            "POST",
+            "/v1/watch",
+            WatchAnswer,
+            request,
+            timeout_s=(LONG_POLL_MS / 1000 if self.long_poll else 0)
+            + LONG_POLL_MARGIN_S,
+        )
+
+    def add_seeds(self, seeds: list[str]) -> None:
+        """Add coordinator addresses from changed settings."""
+        self.coordinators += [s for s in seeds if s not in self.coordinators]
+
+    def _switch_coordinator(self) -> None:
+        self.current_index += 1
+        self.long_poll = False
+
+    def _set_connected(self, ok: bool, address: str, reason: str) -> None:
+        if ok != self.connected:
+            self.connected = ok
+            log_event(
+                "coordinator",
+                "info" if ok else "warning",
+                address=address,
+                connected=ok,
+                reason=reason,
+            )
+
+    def _apply_response(self, response: WatchAnswer) -> None:
+        host = self.host
+        if response.catalog and (
+            host.catalog is not None
+            or response.age_s <= MAX_COORDINATOR_STALENESS_S
+        ):
+            # A host that has just started must not use a stale configuration.
+            self._apply_catalog(response.catalog)
+        for update in response.endpoints:
+            host.apply_endpoint_update(update)
+        if response.boot != self.boot:
+            self.hosts_revision = -1
+        self.boot, self.revision = response.boot, response.revision
+        if response.members:
+            self._update_members(response.members)
+        if response.hosts_revision != self.hosts_revision:
+            self.hosts_revision = response.hosts_revision
+            host.set_entry_hosts(response.hosts)
+        self.leader = response.leader
+        if response.suspects != self.suspects:
+            self.suspects = response.suspects
+            if self.suspects and self.leader:
+                task = asyncio.ensure_future(
+                    self._report_reachability(self.suspects)
+                )
+                self.tasks.add(task)
+                task.add_done_callback(self.tasks.discard)
+
+    def _apply_catalog(self, packed: bytes) -> None:
+        catalog = decode(zlib.decompress(packed), Catalog)
+        if is_failure(catalog):
+            log_event("catalog_unreadable", "error", reason=catalog.reason)
+            return
+        self.host.apply_catalog(catalog)
+
+    def _update_members(self, members: dict[str, str]) -> None:
+        known = set(self.coordinators)
+        if set(members) - known:
+            new = [m for m in members if m not in known]
+            self.coordinators += new
+        stale = known - set(members) - set(self.host.settings.seeds)
+        current = self.coordinators[
+            self.current_index % len(self.coordinators)
+        ]
+        self.coordinators = [m for m in self.coordinators if m not in stale]
+        if current in self.coordinators:
+            self.current_index = self.coordinators.index(current)
+        self._prefer_same_zone(members, current)
+
+    def _prefer_same_zone(self, members: dict[str, str], current: str) -> None:
+        """Switch back to the coordinator of the own zone, if there is one."""
+        zone = self.host.settings.zone
+        if members.get(current) == zone or now() < self.retry_same_zone_at:
+            return
+        same_zone = [a for a, z in members.items() if z == zone]
+        if same_zone:
+            self.retry_same_zone_at = now() + SAME_ZONE_RETRY_S
+            self.current_index = self.coordinators.index(same_zone[0])
+            self.long_poll = False
+
+    # Reachability reports.
+
+    async def _report_reachability(self, suspects: tuple[str, ...]) -> None:
+        """Report to the leader which suspected endpoints are reachable."""
+        results = await asyncio.gather(
+            *(self._is_reachable(e) for e in suspects)
+        )
+        reachable = {
+            endpoint: reached
+            for endpoint, reached in zip(suspects, results, strict=True)
+            if reached is not None
+        }
+        if not reachable:
+            return
+        report = OpinionReport(self.host.settings.name, reachable)
+        response = await self.host.http_client.call(
+            self.leader,
+            "POST",
+            "/v1/opinions",
+            Done,
+            report,
+            timeout_s=REACHABILITY_TIMEOUT_S * 2,
+        )
+        log_event(
+            "opinion",
+            reachable=",".join(f"{k}:{v}" for k, v in reachable.items()),
+            delivered=not is_failure(response),
+        )
+
+    async def _is_reachable(self, name: str) -> bool | None:
+        """Return whether an endpoint responds; None if it is unknown."""
+        endpoint = self.host.by_id.get(name)
+        if endpoint is None:
+            return None
+        if not self.host.executor.serves(endpoint.beat.service):
+            # Connections are scarce, so only gateways check the endpoint.
+            return None
+        if now() - endpoint.latency_measured_at < REACHABILITY_TIMEOUT_S:
+            return True
+        heartbeat = endpoint.beat
+        connection = await open_link(
+            self.host.endpoint_dialect,
+            heartbeat.address,
+            heartbeat.service,
+            heartbeat.endpoint,
+            REACHABILITY_TIMEOUT_S,
+        )
+        if is_failure(connection):
+            # An endpoint that rejects a connection at its limit is running.
+            return connection.kind is ErrorKind.ENDPOINT_FULL
+        connection.close()
+        return True
