--- a/chivescale/entry/_callers.py
+++ b/chivescale/entry/_callers.py
@@ -14,7 +14,7 @@
     build_request_path,
     close_transaction,
     find_binding,
-    resolve,
+    resolve_access,
 )
 from chivescale.telemetry import log_event
 
@@ -76,7 +76,7 @@
         Running statements finish; an open transaction ends at its next
         statement.
         """
-        found = resolve(self.environment, session)
+        found = resolve_access(self.environment, session)
         if not is_failure(found) or not session.service:
             return
         if not session.executing and not session.in_transaction:
@@ -109,7 +109,7 @@
         if refused is not None:
             return refused
         session.data = CallerState()
-        session.data.used_at = clock.now()
+        session.data.last_used_at = clock.now()
         self.sessions[session] = None
         return None
 
@@ -158,9 +158,9 @@
         limit_s = self.environment.entry.transaction_idle_s
         if state.pinned is None or session.executing:
             return
-        if now - state.used_at >= limit_s:
+        if now - state.last_used_at >= limit_s:
             close_transaction(state, session)
-            state.aborted = Failure(
+            state.abort_failure = Failure(
                 ErrorKind.TRANSACTION_ABORTED,
                 f"transaction was idle for {limit_s:g} s",
             )
--- a/chivescale/pipeline/__init__.py
+++ b/chivescale/pipeline/__init__.py
@@ -1,8 +1,9 @@
-"""Request path of an entry host, as a chain of filters.
+"""Request pipeline of an entry host, built as a chain of filters.
 
-measure, authenticate, read_hints, classify_statement, admit, track_session,
-then the step of the statement's class: read, write, keyed write or
-transaction, each of which routes, connects, executes and confirms.
+A statement passes the filters record_metrics, authenticate, read_hints,
+classify_statement, admit and track_session. The handler of its statement
+class (read, write, keyed write or transaction) then selects an endpoint,
+acquires a connection, executes the statement and confirms the result.
 """
 
 from chivescale.pipeline._admission import (
@@ -10,15 +11,15 @@
     authenticate,
     classify_statement,
     find_binding,
-    measure,
     read_hints,
-    resolve,
+    record_metrics,
+    resolve_access,
 )
 from chivescale.pipeline._call import (
     Call,
     CallerState,
     Environment,
-    Pinned,
+    PinnedTransaction,
     Service,
     compose,
 )
@@ -32,21 +33,21 @@
     "CallerState",
     "EndpointGate",
     "Environment",
-    "Pinned",
+    "PinnedTransaction",
     "Service",
     "ServiceView",
     "build_request_path",
     "close_transaction",
     "compose",
     "find_binding",
-    "resolve",
+    "resolve_access",
 ]
 
 
 def build_request_path():
-    """Return the whole request path as one step."""
+    """Return the complete request pipeline as a single step."""
     filters = [
-        measure,
+        record_metrics,
         authenticate,
         read_hints,
         classify_statement,
--- a/chivescale/pipeline/_admission.py
+++ b/chivescale/pipeline/_admission.py
@@ -1,4 +1,4 @@
-"""First filters: may this caller run a statement now, and which one."""
+"""Filters for metrics, access control, hints, classification and limits."""
 
 from chivescale import clock
 from chivescale.errors import ErrorKind, Failure, is_failure
@@ -8,40 +8,42 @@
 from chivescale.routing import Hints, classify, parse_hints
 from chivescale.session import SessionPosition
 
-_TRANSACTION_END = ("commit", "rollback")
+_TRANSACTION_END_CLASSES = ("commit", "rollback")
 
 
 def find_binding(
     workspace: WorkspaceRecord, service: str
 ) -> ServiceBinding | None:
-    """Return the workspace's binding to a service."""
+    """Return the binding of a workspace to a service, if any."""
     for binding in workspace.bindings:
         if binding.service == service:
             return binding
     return None
 
 
-async def measure(call: Call, following: Step) -> Answer:
-    """Record latency and failures of a statement."""
+async def record_metrics(call: Call, next_step: Step) -> Answer:
+    """Record the latency of a statement and count its failure."""
     metrics = call.environment.metrics
-    answer = await following(call)
+    answer = await next_step(call)
     if is_failure(answer):
         metrics.count_failure(answer.kind.value)
-    if call.measured and call.workspace is not None:
-        elapsed = clock.now() - call.started
-        metrics.observe_statement(call.workspace.name, call.measured, elapsed)
+    if call.latency_class and call.workspace is not None:
+        elapsed_s = clock.now() - call.started_at
+        metrics.observe_statement(
+            call.workspace.name, call.latency_class, elapsed_s
+        )
     return answer
 
 
-async def authenticate(call: Call, following: Step) -> Answer:
-    """Check workspace and service against the sheet in force."""
-    found = resolve(call.environment, call.session)
-    if is_failure(found):
+async def authenticate(call: Call, next_step: Step) -> Answer:
+    """Check the access of the session against the current sheet."""
+    access = resolve_access(call.environment, call.session)
+    if is_failure(access):
         if call.state.pinned is None:
-            return found
+            return access
         close_transaction(call.state, call.session)
-        return Failure(ErrorKind.TRANSACTION_ABORTED, found.reason)
-    call.workspace, call.binding = found
+        return Failure(ErrorKind.TRANSACTION_ABORTED, access.reason)
+    call.workspace, call.binding = access
     call.service = call.environment.service(call.session.service)
     position = call.state.position
     if position is None or position.service != call.session.service:
@@ -50,11 +52,16 @@
         )
     else:
         position.scope = call.binding.session_scope
-    return await following(call)
+    return await next_step(call)
+
 
+def resolve_access(environment: Environment, session):
+    """Look up the workspace and the binding of a session.
 
-def resolve(environment: Environment, session):
-    """Return workspace and binding of a session, or a `Failure`."""
+    Returns
+    -------
+    tuple of (WorkspaceRecord, ServiceBinding) or Failure
+    """
     workspace = environment.workspaces(session.workspace)
     if workspace is None:
         reason = f"workspace {session.workspace} is not in the sheet"
@@ -69,58 +76,62 @@
     return workspace, binding
 
 
-async def read_hints(call: Call, following: Step) -> Answer:
-    """Merge hints of the statement with those of the session."""
-    own = parse_hints(call.sql, call.attrs)
-    if is_failure(own):
-        return own
-    held = parse_hints("", call.session.variables)
-    if is_failure(held):
-        return held
-    call.hints = _overlay(own, held)
+async def read_hints(call: Call, next_step: Step) -> Answer:
+    """Combine the hints of the statement with those of the session.
+
+    A hint of the statement overrides the same hint of the session.
+    """
+    statement_hints = parse_hints(call.sql, call.query_attributes)
+    if is_failure(statement_hints):
+        return statement_hints
+    session_hints = parse_hints("", call.session.variables)
+    if is_failure(session_hints):
+        return session_hints
+    call.hints = _merge_hints(statement_hints, session_hints)
     if call.hints.deadline_ms is not None:
-        call.deadline = call.started + call.hints.deadline_ms / 1000
-    return await following(call)
+        call.deadline = call.started_at + call.hints.deadline_ms / 1000
+    return await next_step(call)
 
 
-def _overlay(own: Hints, held: Hints) -> Hints:
-    def first(name):
-        value = getattr(own, name)
-        return getattr(held, name) if value is None else value
+def _merge_hints(statement_hints: Hints, session_hints: Hints) -> Hints:
+    def select(name):
+        value = getattr(statement_hints, name)
+        return getattr(session_hints, name) if value is None else value
 
     return Hints(
-        first("staleness_ms"),
-        first("key"),
-        first("deadline_ms"),
-        first("token"),
+        select("staleness_ms"),
+        select("key"),
+        select("deadline_ms"),
+        select("token"),
     )
 
 
-async def classify_statement(call: Call, following: Step) -> Answer:
-    """Find the class of the statement."""
+async def classify_statement(call: Call, next_step: Step) -> Answer:
+    """Determine the statement class; reject oversized statements."""
     limit = call.environment.entry.max_statement_bytes
     if len(call.sql) > limit:
-        reason = f"statement over {limit} bytes"
+        reason = f"statement exceeds {limit} bytes"
         return Failure(ErrorKind.MESSAGE_TOO_LARGE, reason)
-    call.kind = classify(call.sql)
-    return await following(call)
+    call.statement_class = classify(call.sql)
+    return await next_step(call)
 
 
-async def admit(call: Call, following: Step) -> Answer:
-    """Apply draining and the limits of the workspace."""
-    open_transaction = call.state.pinned is not None
-    if call.environment.draining and not open_transaction:
+async def admit(call: Call, next_step: Step) -> Answer:
+    """Reject statements while draining or above the workspace limits."""
+    in_transaction = call.state.pinned is not None
+    if call.environment.draining and not in_transaction:
         return Failure(ErrorKind.SHUTTING_DOWN, "host is draining")
     call.environment.retries.record_request()
     limits = call.environment.limits(call.workspace.name)
-    if open_transaction and call.kind in _TRANSACTION_END:
-        # Refusing the end of a transaction would only hold its connection.
-        return await following(call)
-    refused = limits.start_statement(call.started)
-    if refused is not None:
-        call.environment.metrics.count_shed(refused.kind.value)
-        return refused
+    if in_transaction and call.statement_class in _TRANSACTION_END_CLASSES:
+        # Rejecting COMMIT or ROLLBACK would only keep the connection of the
+        # transaction in use for longer.
+        return await next_step(call)
+    rejection = limits.start_statement(call.started_at)
+    if rejection is not None:
+        call.environment.metrics.count_shed(rejection.kind.value)
+        return rejection
     try:
-        return await following(call)
+        return await next_step(call)
     finally:
         limits.finish_statement()
--- a/chivescale/pipeline/_call.py
+++ b/chivescale/pipeline/_call.py
@@ -1,4 +1,4 @@
-"""What the filters of the request path pass along."""
+"""Data structures of the request pipeline, and composition of filters."""
 
 import collections.abc
 import random
@@ -20,14 +20,19 @@
 
 
 class Service:
-    """What an entry host keeps for one service.
+    """State of one service on an entry host.
 
-    Attributes
+    Parameters
     ----------
+    name : str
+        Name of the service.
     view : ServiceView
-        Consistency decisions.
+        Consistency state of the service.
+
+    Attributes
+    ----------
     gates : dict of EndpointGate
-        Endpoints by name.
+        Admission control of each endpoint, by endpoint name.
     """
 
     __slots__ = ("gates", "name", "view")
@@ -43,20 +48,30 @@
 
 
 class Environment(msgspec.Struct):
-    """What all calls on a host share.
+    """Dependencies and state shared by all calls on a host.
 
     Attributes
     ----------
     workspaces : callable
-        Finds a workspace record by name in the sheet in force.
+        Returns the record of a workspace in the current sheet, by name.
     service : callable
-        Finds a `Service` by name.
+        Returns a `Service` by name.
     limits : callable
-        Returns the `WorkspaceLimits` of a workspace.
+        Returns the `WorkspaceLimits` of a workspace, by name.
+    entry : EntrySettings
+        Settings of the entry role.
+    pool : PoolSettings
+        Settings of the connection pools.
+    metrics : Metrics
+        Metrics of the process.
+    retries : RetryBudget
+        Retry budget of the host.
+    rng : random.Random
+        Random number generator for backoff and endpoint selection.
     zone : str
-        Zone of the host.
+        Availability zone of the host.
     draining : bool
-        Whether new transactions and statements are refused.
+        Whether new transactions and statements are rejected.
     """
 
     workspaces: collections.abc.Callable[[str], WorkspaceRecord | None]
@@ -71,15 +86,22 @@
     draining: bool = False
 
 
-class Pinned(msgspec.Struct):
-    """Connection of an open transaction.
+class PinnedTransaction(msgspec.Struct):
+    """Open transaction and the connection that is pinned to it.
 
     Attributes
     ----------
+    connection : ClientConnection
+        Connection to the primary.
+    gate : EndpointGate
+        Admission control of the primary.
+    service : Service
+        Service of the transaction.
     term : int
-        Term in which the transaction began; it cannot outlive the term.
+        Term in which the transaction began. The transaction is aborted when
+        the term ends.
     wrote : bool
-        Whether a statement other than a read ran in it.
+        Whether the transaction has run a statement other than a read.
     statements : list of str
         Texts of the writes, for the digest of an idempotency key.
     """
@@ -93,55 +115,83 @@
 
 
 class CallerState:
-    """State that belongs to one caller connection."""
+    """State of one caller connection.
+
+    Attributes
+    ----------
+    position : SessionPosition or None
+        Position that reads of the session must include.
+    pinned : PinnedTransaction or None
+        Open transaction.
+    last_insert_id, row_count : int
+        Values of LAST_INSERT_ID() and ROW_COUNT().
+    last_used_at : float
+        Monotonic time in seconds of the login or of the end of the last
+        statement.
+    abort_failure : Failure or None
+        Why the host aborted the open transaction. It is returned for the
+        next statement of the caller.
+    """
 
     __slots__ = (
-        "aborted",
+        "abort_failure",
         "last_insert_id",
+        "last_used_at",
         "pinned",
         "position",
         "row_count",
-        "used_at",
     )
 
     def __init__(self):
         self.position: SessionPosition | None = None
-        self.pinned: Pinned | None = None
+        self.pinned: PinnedTransaction | None = None
         self.last_insert_id = 0
         self.row_count = -1
-        self.used_at = 0.0
-        # Why the open transaction ended without the caller's request; the
-        # caller is told at its next statement.
-        self.aborted: Failure | None = None
+        self.last_used_at = 0.0
+
+        self.abort_failure: Failure | None = None
 
 
 Answer = QueryResult | Failure
 
 
 class Call:
-    """One statement on its way through the filters.
+    """Context of one statement in the request pipeline.
+
+    Parameters
+    ----------
+    environment : Environment
+        Dependencies shared by all calls.
+    session : CallerSession
+        Session of the caller.
+    sql : str
+        Text of the statement.
+    query_attributes : dict
+        MySQL query attributes of the statement.
+    started_at : float
+        Monotonic time in seconds at which the statement arrived.
 
     Attributes
     ----------
     deadline : float
-        Monotonic time in seconds by which the caller gets an answer.
-    measured : str
-        Class under which the latency is recorded.
+        Monotonic time in seconds by which the caller must get an answer.
+    latency_class : str
+        Class under which the latency is recorded; empty for none.
     """
 
     __slots__ = (
-        "attrs",
         "binding",
         "deadline",
         "environment",
         "hints",
-        "kind",
-        "measured",
+        "latency_class",
+        "query_attributes",
         "service",
         "session",
         "sql",
-        "started",
+        "started_at",
         "state",
+        "statement_class",
         "workspace",
     )
 
@@ -150,19 +200,19 @@
         environment: Environment,
         session: CallerSession,
         sql: str,
-        attrs: dict[str, typing.Any],
-        started: float,
+        query_attributes: dict[str, typing.Any],
+        started_at: float,
     ):
         self.environment = environment
         self.session = session
         self.sql = sql
-        self.attrs = attrs
-        self.started = started
+        self.query_attributes = query_attributes
+        self.started_at = started_at
         self.state: CallerState = session.data
-        self.deadline = started + environment.entry.deadline_ms / 1000
+        self.deadline = started_at + environment.entry.deadline_ms / 1000
         self.hints = Hints()
-        self.kind = StatementClass.WRITE
-        self.measured = ""
+        self.statement_class = StatementClass.WRITE
+        self.latency_class = ""
         self.workspace: WorkspaceRecord | None = None
         self.binding: ServiceBinding | None = None
         self.service: Service | None = None
@@ -175,15 +225,18 @@
 
 
 def compose(filters: list[Filter], last: Step) -> Step:
-    """Chain filters; each decides whether and how the next one runs."""
+    """Compose filters into one step.
+
+    Each filter receives the next step and decides whether to call it.
+    """
     step = last
-    for each in reversed(filters):
-        step = _bind(each, step)
+    for wrapped in reversed(filters):
+        step = _wrap(wrapped, step)
     return step
 
 
-def _bind(each: Filter, following: Step) -> Step:
+def _wrap(wrapped: Filter, next_step: Step) -> Step:
     async def run(call: Call) -> Answer:
-        return await each(call, following)
+        return await wrapped(call, next_step)
 
     return run
--- a/chivescale/pipeline/_dispatch.py
+++ b/chivescale/pipeline/_dispatch.py
@@ -1,4 +1,4 @@
-"""Last step of the request path: what a statement of each class does."""
+"""Last step of the request pipeline: handlers of the statement classes."""
 
 from chivescale import clock
 from chivescale.errors import ErrorKind, Failure, is_failure
@@ -14,8 +14,8 @@
 from chivescale.pipeline._transaction import (
     begin,
     commit,
-    in_transaction,
     rollback,
+    run_in_transaction,
 )
 from chivescale.pipeline._write import write
 from chivescale.routing import (
@@ -28,61 +28,61 @@
 )
 from chivescale.session import format_token, parse_token
 
-_NEEDS_SERVICE = frozenset(
+_SERVICE_CLASSES = frozenset(
     {StatementClass.READ, StatementClass.WRITE, StatementClass.BEGIN}
 )
 
 
-async def track_session(call: Call, following: Step) -> Answer:
-    """Report aborted transactions and keep facts about the session."""
+async def track_session(call: Call, next_step: Step) -> Answer:
+    """Report aborted transactions and update the state of the session."""
     state = call.state
-    if state.aborted is not None:
-        failure, state.aborted = state.aborted, None
-        if call.kind is not StatementClass.ROLLBACK:
+    if state.abort_failure is not None:
+        failure, state.abort_failure = state.abort_failure, None
+        if call.statement_class is not StatementClass.ROLLBACK:
             return failure
-    answer = await following(call)
-    state.used_at = clock.now()
+    answer = await next_step(call)
+    state.last_used_at = clock.now()
     if not is_failure(answer):
         if not answer.columns:
             state.row_count = answer.affected_rows
         if answer.last_insert_id:
             state.last_insert_id = answer.last_insert_id
-    if _used_key(call) and not _is_open(answer):
-        # A key belongs to one request; it stays set only while the caller
-        # may have to send that request again.
+    if _uses_key(call) and not _may_be_resent(answer):
+        # A key identifies one request. It is kept only if the caller may
+        # have to send that request again.
         call.session.variables.pop("chivescale_key", None)
     return answer
 
 
-def _used_key(call: Call) -> bool:
+def _uses_key(call: Call) -> bool:
     writes = (StatementClass.WRITE, StatementClass.COMMIT)
-    return call.hints.key is not None and call.kind in writes
+    return call.hints.key is not None and call.statement_class in writes
 
 
-def _is_open(answer: Answer) -> bool:
+def _may_be_resent(answer: Answer) -> bool:
     return is_failure(answer) and answer.kind is not ErrorKind.KEY_REUSED
 
 
 async def dispatch(call: Call) -> Answer:
-    """Run a statement by its class."""
-    if call.kind in _NEEDS_SERVICE and call.service is None:
-        reason = f"service {call.session.service} is not ready"
+    """Run the handler of the statement class."""
+    if call.statement_class in _SERVICE_CLASSES and call.service is None:
+        reason = f"service {call.session.service} is not available yet"
         return Failure(ErrorKind.NO_PRIMARY, reason)
-    handler = _HANDLERS[call.kind]
+    handler = _HANDLERS[call.statement_class]
     return await handler(call)
 
 
 async def _read_or_write(call: Call) -> Answer:
     if call.state.pinned is None and not call.session.autocommit:
-        begun = await begin(call)
-        if is_failure(begun):
-            return begun
+        begin_answer = await begin(call)
+        if is_failure(begin_answer):
+            return begin_answer
     if call.state.pinned is not None:
-        return await in_transaction(call)
-    if call.kind is StatementClass.READ:
+        return await run_in_transaction(call)
+    if call.statement_class is StatementClass.READ:
         return await read(call)
     if needs_session(call.sql):
-        reason = "user variables and locks need a transaction"
+        reason = "user variables and locks require a transaction"
         return Failure(ErrorKind.UNSUPPORTED, reason)
     if call.hints.key is not None:
         return await keyed_write(call)
@@ -96,15 +96,15 @@
 async def _savepoint(call: Call) -> Answer:
     if call.state.pinned is None:
         return QueryResult()
-    return await in_transaction(call)
+    return await run_in_transaction(call)
 
 
 async def _set_session(call: Call) -> Answer:
-    assigned = parse_set(call.sql)
-    if is_failure(assigned):
-        return assigned
+    assignments = parse_set(call.sql)
+    if is_failure(assignments):
+        return assignments
     variables = dict(call.session.variables)
-    for name, value in assigned:
+    for name, value in assignments:
         name = name.removeprefix("@")
         if value is None or value == "":
             variables.pop(name, None)
@@ -122,21 +122,23 @@
 
 
 async def _set_autocommit(call: Call) -> Answer:
-    assigned = parse_set(call.sql)
-    if is_failure(assigned):
-        return assigned
-    value = str(dict(assigned).get("autocommit")).lower()
-    if value not in _SWITCH:
-        return Failure(ErrorKind.BAD_REQUEST, f"autocommit: {value}")
-    if _SWITCH[value] and call.state.pinned is not None:
-        ended = await commit(call)
-        if is_failure(ended):
-            return ended
-    call.session.autocommit = _SWITCH[value]
+    assignments = parse_set(call.sql)
+    if is_failure(assignments):
+        return assignments
+    value = str(dict(assignments).get("autocommit")).lower()
+    if value not in _BOOLEAN_VALUES:
+        return Failure(
+            ErrorKind.BAD_REQUEST, f"invalid value for autocommit: {value}"
+        )
+    if _BOOLEAN_VALUES[value] and call.state.pinned is not None:
+        commit_answer = await commit(call)
+        if is_failure(commit_answer):
+            return commit_answer
+    call.session.autocommit = _BOOLEAN_VALUES[value]
     return QueryResult()
 
 
-_SWITCH = {"1": True, "on": True, "true": True} | {
+_BOOLEAN_VALUES = {"1": True, "on": True, "true": True} | {
     "0": False,
     "off": False,
     "false": False,
@@ -145,26 +147,30 @@
 
 async def _set_other(call: Call) -> Answer:
     if call.state.pinned is not None:
-        return await in_transaction(call)
+        return await run_in_transaction(call)
     reason = "session variables can be set only inside a transaction"
     return Failure(ErrorKind.UNSUPPORTED, reason)
 
 
 async def _unsupported(call: Call) -> Answer:
-    word = call.sql.split(None, 1)[0][:20] if call.sql.strip() else ""
-    return Failure(ErrorKind.UNSUPPORTED, f"statement {word} is unsupported")
+    keyword = call.sql.split(None, 1)[0][:20] if call.sql.strip() else ""
+    return Failure(
+        ErrorKind.UNSUPPORTED, f"statement {keyword} is not supported"
+    )
 
 
 async def _local(call: Call) -> Answer:
-    answer = local_answer(call.sql, _facts(call))
+    answer = local_answer(call.sql, _session_facts(call))
     if is_failure(answer):
         return answer
     if not answer.columns:
         return QueryResult()
-    first = answer.rows[0] if answer.rows else (None,) * len(answer.columns)
+    first_row = (
+        answer.rows[0] if answer.rows else (None,) * len(answer.columns)
+    )
     columns = tuple(
         Column(name, _column_type(value))
-        for name, value in zip(answer.columns, first, strict=True)
+        for name, value in zip(answer.columns, first_row, strict=True)
     )
     return QueryResult(columns, list(answer.rows))
 
@@ -173,7 +179,7 @@
     return TYPE_LONGLONG if isinstance(value, int) else TYPE_VAR_STRING
 
 
-def _facts(call: Call) -> SessionFacts:
+def _session_facts(call: Call) -> SessionFacts:
     token = call.state.position.token()
     return SessionFacts(
         workspace=call.session.workspace,
--- a/chivescale/pipeline/_gate.py
+++ b/chivescale/pipeline/_gate.py
@@ -1,4 +1,4 @@
-"""Admission of statements to one endpoint."""
+"""Admission control of one endpoint."""
 
 import asyncio
 import collections.abc
@@ -10,28 +10,43 @@
 from chivescale.mysql import ClientConnection, QueryResult
 from chivescale.pool import Pool
 
-# While statements wait during a ramp, the limit rises without any statement
-# ending, so the queue is looked at this often.
-PUMP_INTERVAL_S = 0.02
+# During a ramp the limit rises although no statement ends, so a non-empty
+# queue is also checked periodically.
+QUEUE_CHECK_INTERVAL_S = 0.02
 LATENCY_SMOOTHING = 0.2
-# After a failed connection an endpoint is avoided for reads this long.
-SUSPECT_S = 1.0
-LIMIT_PER_SLOT = 8
+# Time for which reads avoid an endpoint after a failed connection.
+SUSPECT_DURATION_S = 1.0
+MAX_CONCURRENCY_PER_SLOT = 8
 
 
 class EndpointGate:
-    """Fair queue, concurrency limit and pool of one endpoint.
+    """Fair queue, concurrency limit and connection pool of one endpoint.
 
-    A statement takes its connection before its place in the queue. The
-    other order would deadlock: statements that hold places would wait for
-    connections held by transactions that wait for places.
+    A statement acquires its connection before its slot. The opposite order
+    would deadlock: statements that hold slots would wait for connections
+    held by transactions that wait for slots.
 
     Parameters
     ----------
     record : EndpointRecord
-        The endpoint.
+        Published record of the endpoint.
     pool : Pool
-        Its connections.
+        Connection pool of the endpoint.
+
+    Attributes
+    ----------
+    latency_s : float
+        Exponentially smoothed latency of answered statements.
+    leaving : bool
+        Whether the endpoint accepts no new work.
+    suspect_until : float
+        Monotonic time until which reads avoid the endpoint, after a failed
+        connection.
+    lagging_until : float
+        Monotonic time until which reads do not wait for the endpoint to
+        catch up.
+    last_answer_at : float
+        Monotonic time of the last answer to a statement.
     """
 
     def __init__(self, record: EndpointRecord, pool: Pool):
@@ -39,94 +54,103 @@
         self.pool = pool
         self.queue = FairQueue()
         slots = max(1, record.slots)
-        self.limit = AdaptiveLimit(slots, 1, slots * LIMIT_PER_SLOT)
+        self.limit = AdaptiveLimit(slots, 1, slots * MAX_CONCURRENCY_PER_SLOT)
         self.latency_s = 0.0
         self.leaving = record.leaving
         self.suspect_until = 0.0
-        self.behind_until = 0.0
-        # When a statement was answered last, in monotonic seconds.
-        self.answered_at = 0.0
+        self.lagging_until = 0.0
+
+        self.last_answer_at = 0.0
         self.timer: asyncio.TimerHandle | None = None
 
     @property
     def in_use(self) -> int:
-        """Statements running or waiting."""
+        """Number of statements that are running or queued."""
         return self.limit.in_use + len(self.queue)
 
-    async def enter(self, workspace: str, deadline: float) -> Failure | None:
-        """Wait for a place; every None needs one `leave`."""
+    async def acquire_slot(
+        self, workspace: str, deadline: float
+    ) -> Failure | None:
+        """Wait for a slot.
+
+        Returns
+        -------
+        Failure or None
+            None if a slot was acquired; `release_slot` must then be called.
+        """
         now = clock.now()
         if not len(self.queue) and self.limit.try_acquire(now):
             return None
-        place = asyncio.get_running_loop().create_future()
-        refused = self.queue.offer(workspace, place, deadline, now)
-        if refused is not None:
-            return refused
-        self._arm()
+        slot_future = asyncio.get_running_loop().create_future()
+        rejection = self.queue.offer(workspace, slot_future, deadline, now)
+        if rejection is not None:
+            return rejection
+        self._schedule_check()
         try:
-            return await place
+            return await slot_future
         except asyncio.CancelledError:
-            if not self.queue.cancel(place):
-                self._give_back()
+            if not self.queue.cancel(slot_future):
+                self._return_unused_slot()
             raise
 
-    def join(self) -> None:
-        """Take a place at once, above the limit if need be.
+    def acquire_slot_over_limit(self) -> None:
+        """Acquire a slot without waiting, even above the limit.
 
-        For statements of an open transaction. Writers that wait for its
-        locks hold places, so it would wait for them and they for it.
+        Used for statements of an open transaction. Writers that wait for the
+        locks of the transaction hold slots, so queueing its statements behind
+        them would cause a deadlock.
         """
         self.limit.in_use += 1
 
-    def leave(self, latency_s: float, ok: bool) -> None:
-        """Return a place and let the next statements in."""
+    def release_slot(self, latency_s: float, answered: bool) -> None:
+        """Release a slot and admit queued statements."""
         now = clock.now()
-        self.limit.release(latency_s, ok, now)
-        if ok:
-            self.answered_at = now
+        self.limit.release(latency_s, answered, now)
+        if answered:
+            self.last_answer_at = now
             change = latency_s - self.latency_s
             self.latency_s += LATENCY_SMOOTHING * change
-        self._pump()
+        self._admit_queued()
 
-    def suspect(self) -> None:
-        """Avoid the endpoint for reads for a while."""
-        self.suspect_until = clock.now() + SUSPECT_S
+    def mark_suspect(self) -> None:
+        """Make reads avoid the endpoint for `SUSPECT_DURATION_S`."""
+        self.suspect_until = clock.now() + SUSPECT_DURATION_S
 
     def close(self) -> None:
-        """Close the pool and stop the timer."""
+        """Close the pool and cancel the timer."""
         if self.timer is not None:
             self.timer.cancel()
         self.pool.close()
 
-    def _give_back(self) -> None:
+    def _return_unused_slot(self) -> None:
         self.limit.in_use -= 1
-        self._pump()
+        self._admit_queued()
 
-    def _pump(self) -> None:
+    def _admit_queued(self) -> None:
         now = clock.now()
-        for place, failure in self.queue.expire(now):
-            if not place.done():
-                place.set_result(failure)
+        for slot_future, failure in self.queue.expire(now):
+            if not slot_future.done():
+                slot_future.set_result(failure)
         while len(self.queue) and self.limit.try_acquire(now):
-            place = self.queue.take(now)
-            if place is None:
+            slot_future = self.queue.take(now)
+            if slot_future is None:
                 self.limit.in_use -= 1
                 break
-            if place.done():
+            if slot_future.done():
                 self.limit.in_use -= 1
                 continue
-            place.set_result(None)
-        self._arm()
+            slot_future.set_result(None)
+        self._schedule_check()
 
-    def _arm(self) -> None:
+    def _schedule_check(self) -> None:
         if self.timer is not None or not len(self.queue):
             return
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(PUMP_INTERVAL_S, self._on_timer)
+        self.timer = loop.call_later(QUEUE_CHECK_INTERVAL_S, self._on_timer)
 
     def _on_timer(self) -> None:
         self.timer = None
-        self._pump()
+        self._admit_queued()
 
 
 async def run_statement(
@@ -137,28 +161,28 @@
     deadline: float,
     observe_queue: collections.abc.Callable[[float], None],
 ) -> QueryResult | Failure:
-    """Run one statement on a connection once the gate lets it in.
+    """Run one statement on a connection once it has been admitted.
 
     Returns
     -------
     QueryResult or Failure
-        Failures of the gate come before any byte left.
+        If admission fails, nothing has been sent to the endpoint.
     """
-    arrived = clock.now()
+    queued_at = clock.now()
     if connection.in_transaction:
-        gate.join()
+        gate.acquire_slot_over_limit()
     else:
-        refused = await gate.enter(workspace, deadline)
-        if refused is not None:
-            return refused
-    started = clock.now()
-    observe_queue(started - arrived)
+        rejection = await gate.acquire_slot(workspace, deadline)
+        if rejection is not None:
+            return rejection
+    started_at = clock.now()
+    observe_queue(started_at - queued_at)
     answer = None
     try:
         answer = await connection.query(sql, deadline)
         return answer
     finally:
-        ok = answer is not None and (
+        answered = answer is not None and (
             not is_failure(answer) or answer.errno != 0
         )
-        gate.leave(clock.now() - started, ok)
+        gate.release_slot(clock.now() - started_at, answered)
--- a/chivescale/pipeline/_keyed.py
+++ b/chivescale/pipeline/_keyed.py
@@ -1,4 +1,4 @@
-"""Writes with an idempotency key."""
+"""Writes with an idempotency key outside transactions."""
 
 import asyncio
 
@@ -14,8 +14,8 @@
     connect_primary,
     run_begin,
     run_on_primary,
-    was_refused,
-    watch_term,
+    run_until_replaced,
+    was_not_executed,
 )
 from chivescale.retry import backoff_s
 from chivescale.routing import may_commit
@@ -28,13 +28,13 @@
 
 DUPLICATE_ERRNO = 1062
 NO_TABLE_ERRNO = 1146
-LOCKED_ERRNOS = frozenset({1205, 1213})
-LOOKUP_PAUSE_S = 0.1
+LOCK_ERRNOS = frozenset({1205, 1213})
+LOOKUP_RETRY_INTERVAL_S = 0.1
 
 
 async def keyed_write(call: Call) -> Answer:
-    """Run a write whose key is recorded in the same transaction."""
-    call.measured = "write"
+    """Run a write and record its idempotency key in one transaction."""
+    call.latency_class = "write"
     key = make_key(call, call.sql)
     attempt = 0
     while True:
@@ -46,14 +46,15 @@
             return answer
         if clock.now() >= call.deadline:
             return Failure(
-                ErrorKind.KEY_IN_PROGRESS, f"key {key.key} is in use"
+                ErrorKind.KEY_IN_PROGRESS,
+                f"key {key.key} is used by another request",
             )
         await asyncio.sleep(backoff_s(attempt, call.environment.rng))
         attempt += 1
 
 
 def make_key(call: Call, text: str) -> StatementKey:
-    """Return the key of a call; `text` is what it stands for."""
+    """Return the key of a call, with the digest of the request `text`."""
     digest = statement_digest(f"{call.session.service}\n{text}")
     return StatementKey(call.session.workspace, call.hints.key, digest)
 
@@ -61,11 +62,11 @@
 async def _attempt(
     call: Call, key: StatementKey, primary: Primary
 ) -> Answer | None:
-    """Run one attempt; None asks for another one."""
+    """Run one attempt; return None if it should be repeated."""
     connection = primary.connection
     progress = _Progress()
     try:
-        outcome = await watch_term(
+        outcome = await run_until_replaced(
             call, primary, _transaction(call, key, primary, progress)
         )
     finally:
@@ -75,13 +76,13 @@
             primary.gate.pool.suspect_silence()
         primary.gate.pool.release(connection)
     if not is_failure(outcome):
-        return await _finish(call, key, primary, outcome)
-    if outcome.errno == DUPLICATE_ERRNO and outcome.reason == _CLAIM:
-        return await lookup(call, key)
+        return await _confirm_commit(call, key, primary, outcome)
+    if outcome.errno == DUPLICATE_ERRNO and outcome.reason == _KEY_RECORDED:
+        return await lookup_result(call, key)
     if outcome.kind is ErrorKind.TIMEOUT and progress.commit_sent:
-        # Also when the primary was replaced before it answered COMMIT.
+        # This includes a primary that was replaced before it answered COMMIT.
         return await resolve_commit(call, key, primary)
-    if outcome.errno in LOCKED_ERRNOS or was_refused(outcome):
+    if outcome.errno in LOCK_ERRNOS or was_not_executed(outcome):
         return None
     if outcome.kind is ErrorKind.TIMEOUT:
         # COMMIT was not sent, so the endpoint rolls back.
@@ -92,16 +93,16 @@
 
 
 class _Progress:
-    """How far the transaction of a keyed write came."""
+    """Progress of the transaction of a keyed write."""
 
     begun = False
     commit_sent = False
 
 
-_CLAIM = "key is already recorded"
+_KEY_RECORDED = "key is already recorded"
 
 
-async def _finish(call, key, primary, result: QueryResult) -> Answer:
+async def _confirm_commit(call, key, primary, result: QueryResult) -> Answer:
     answer = await confirm(call, result, primary.term)
     if is_failure(answer) and answer.kind is ErrorKind.OUTCOME_UNKNOWN:
         return await resolve_commit(call, key, primary)
@@ -111,18 +112,18 @@
 async def _transaction(
     call, key: StatementKey, primary: Primary, progress: _Progress
 ) -> Answer:
-    """Record the key, run the statement, store its result, commit."""
+    """Record the key, run the statement, store its result and commit."""
 
     async def run(sql: str) -> Answer:
         return await run_on_primary(call, primary, sql)
 
-    begun = await run_begin(call, primary, "BEGIN")
-    if is_failure(begun):
-        return begun
+    begin_answer = await run_begin(call, primary, "BEGIN")
+    if is_failure(begin_answer):
+        return begin_answer
     progress.begun = True
-    claimed = await claim(run, key)
-    if is_failure(claimed):
-        return claimed
+    recorded = await record_key(run, key)
+    if is_failure(recorded):
+        return recorded
     progress.commit_sent = may_commit(call.sql)
     result = await run(call.sql)
     if is_failure(result):
@@ -141,36 +142,36 @@
     return result
 
 
-async def claim(run, key: StatementKey) -> Answer:
-    """Insert the key, creating its table at first use."""
-    claimed = await run(key.insert_sql())
-    if is_failure(claimed) and claimed.errno == NO_TABLE_ERRNO:
-        # Creating a table ends the transaction, which is still empty.
+async def record_key(run, key: StatementKey) -> Answer:
+    """Insert the key; create the table of keys if it does not exist."""
+    recorded = await run(key.insert_sql())
+    if is_failure(recorded) and recorded.errno == NO_TABLE_ERRNO:
+        # CREATE TABLE commits implicitly; the transaction is still empty.
         for sql in ("ROLLBACK", CREATE_REQUEST_TABLE, "BEGIN"):
-            done = await run(sql)
-            if is_failure(done):
-                return done
-        claimed = await run(key.insert_sql())
-    if is_failure(claimed) and claimed.errno == DUPLICATE_ERRNO:
+            answer = await run(sql)
+            if is_failure(answer):
+                return answer
+        recorded = await run(key.insert_sql())
+    if is_failure(recorded) and recorded.errno == DUPLICATE_ERRNO:
         await run("ROLLBACK")
         return Failure(
-            ErrorKind.STATEMENT_FAILED, _CLAIM, DUPLICATE_ERRNO, "23000"
+            ErrorKind.STATEMENT_FAILED, _KEY_RECORDED, DUPLICATE_ERRNO, "23000"
         )
-    return claimed
+    return recorded
 
 
-def is_claimed(answer: Answer) -> bool:
-    """Tell whether `claim` found the key recorded."""
-    return is_failure(answer) and answer.reason == _CLAIM
+def is_key_recorded(answer: Answer) -> bool:
+    """Return whether `record_key` found the key already recorded."""
+    return is_failure(answer) and answer.reason == _KEY_RECORDED
 
 
-async def lookup(call: Call, key: StatementKey) -> Answer | None:
-    """Return the recorded result of a key, once it is proven to last.
+async def lookup_result(call: Call, key: StatementKey) -> Answer | None:
+    """Return the stored result of a key once a quorum holds it.
 
     Returns
     -------
     QueryResult, Failure or None
-        None if the key is not recorded on the present primary.
+        None if the key is not recorded on the current primary.
     """
     primary = await connect_primary(call)
     if is_failure(primary):
@@ -181,21 +182,21 @@
 async def _lookup_on(
     call: Call, key: StatementKey, primary: Primary
 ) -> Answer | None:
-    found = await _select(call, key, primary)
-    if is_failure(found):
-        if found.errno == NO_TABLE_ERRNO:
+    selected = await _select(call, key, primary)
+    if is_failure(selected):
+        if selected.errno == NO_TABLE_ERRNO:
             return None
-        return Failure(ErrorKind.OUTCOME_UNKNOWN, found.reason)
-    row = found.rows[0] if found.rows else None
-    meaning = key.interpret(row)
-    if meaning is None or is_failure(meaning):
-        return meaning
-    return await _confirm_stored(call, primary, meaning)
+        return Failure(ErrorKind.OUTCOME_UNKNOWN, selected.reason)
+    row = selected.rows[0] if selected.rows else None
+    stored_result = key.interpret(row)
+    if stored_result is None or is_failure(stored_result):
+        return stored_result
+    return await _confirm_stored(call, primary, stored_result)
 
 
 async def _select(call: Call, key: StatementKey, primary: Primary) -> Answer:
     try:
-        return await watch_term(
+        return await run_until_replaced(
             call,
             primary,
             run_on_primary(call, primary, key.select_sql()),
@@ -207,13 +208,13 @@
 async def _confirm_stored(
     call: Call, primary: Primary, stored: StoredResult
 ) -> Answer:
-    """Confirm the primary's position after the row was read.
+    """Confirm the position of the primary after the row was read.
 
-    The write itself lies at or below that position, so a quorum that holds
-    the position holds the write.
+    The position of the write is not higher, so a quorum that holds the
+    position of the primary also holds the write.
     """
-    status = await call.service.view.status_of(primary.gate.record.endpoint)
-    if status is None or not _in_office(status, primary):
+    status = await call.service.view.fetch_status(primary.gate.record.endpoint)
+    if status is None or not _is_still_primary(status, primary):
         reason = "the primary was replaced during the lookup"
         return Failure(ErrorKind.OUTCOME_UNKNOWN, reason)
     result = QueryResult(
@@ -226,40 +227,50 @@
     return answer
 
 
-def _in_office(status: EndpointStatus, primary: Primary) -> bool:
+def _is_still_primary(status: EndpointStatus, primary: Primary) -> bool:
     return status.last.term == primary.term and status.role == "primary"
 
 
 async def resolve_commit(
-    call: Call, key: StatementKey, sent_to: Primary
+    call: Call, key: StatementKey, previous: Primary
 ) -> Answer:
-    """Find out whether a commit whose answer was lost took effect.
+    """Determine whether a commit whose answer was lost took effect.
 
     A recorded key proves that it did. A missing key proves that it did not
-    only on a primary of a later term that is another endpoint: on the same
-    endpoint the commit could still be waiting to run.
+    only if it is missing on a primary of a later term that is another
+    endpoint: on the same endpoint the commit could still be pending.
+
+    Parameters
+    ----------
+    call : Call
+        The write or COMMIT.
+    key : StatementKey
+        Key that was recorded in the transaction.
+    previous : Primary
+        Primary to which the commit was sent.
     """
     while clock.now() < call.deadline:
         primary = await connect_primary(call)
         if is_failure(primary):
             break
         answer = await _lookup_on(call, key, primary)
-        if answer is None and _supersedes(primary, sent_to):
-            reason = f"key {key.key} is absent in term {primary.term}"
+        if answer is None and _supersedes(primary, previous):
+            reason = f"key {key.key} is not recorded in term {primary.term}"
             return Failure(ErrorKind.DID_NOT_RUN, reason)
         if answer is not None and not _is_unknown(answer):
             return answer
-        await call.service.view.wait_change(
-            min(call.deadline, clock.now() + LOOKUP_PAUSE_S)
+        await call.service.view.wait_for_update(
+            min(call.deadline, clock.now() + LOOKUP_RETRY_INTERVAL_S)
         )
     return Failure(
-        ErrorKind.OUTCOME_UNKNOWN, f"the commit of key {key.key} is in doubt"
+        ErrorKind.OUTCOME_UNKNOWN,
+        f"could not determine whether key {key.key} was committed",
     )
 
 
-def _supersedes(primary: Primary, sent_to: Primary) -> bool:
-    before, after = sent_to.gate.record, primary.gate.record
-    return primary.term > sent_to.term and before.endpoint != after.endpoint
+def _supersedes(primary: Primary, previous: Primary) -> bool:
+    before, after = previous.gate.record, primary.gate.record
+    return primary.term > previous.term and before.endpoint != after.endpoint
 
 
 def _is_unknown(answer: Answer) -> bool:
--- a/chivescale/pipeline/_primary.py
+++ b/chivescale/pipeline/_primary.py
@@ -1,4 +1,4 @@
-"""What writes and transactions share: the primary and confirmation."""
+"""Connecting to the primary and confirming results by a quorum."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 from chivescale.retry import Attempt, Request, backoff_s, may_resend
 from chivescale.session import Confirmed, ProvedAbsent
 
-# After a newer term is published, an answer already on its way gets this
-# long before the connection to the replaced primary is closed.
-REPLACED_GRACE_S = 0.05
-RECHECK_S = 0.1
+# Time that a replaced primary is given to deliver an answer that is already
+# in transit, before its connection is closed.
+REPLACED_PRIMARY_GRACE_S = 0.05
+RETRY_INTERVAL_S = 0.1
 
 
 class Primary(msgspec.Struct, frozen=True):
-    """A connection to the primary of an established term."""
+    """Connection to the primary of an established term."""
 
     gate: EndpointGate
     connection: ClientConnection
@@ -28,33 +28,37 @@
 
 
 async def connect_primary(call: Call) -> Primary | Failure:
-    """Return a connection to the primary once a quorum is proven.
+    """Return a connection to the primary once a quorum has responded.
 
-    Waits through a failover until the deadline; every failure here means
-    that the statement was not sent.
+    Waits for a failover to complete, at most until the deadline. A failure
+    means that the statement was not sent.
     """
     attempt = 0
-    reason = Failure(ErrorKind.NO_PRIMARY, "no primary is established")
+    failure = Failure(ErrorKind.NO_PRIMARY, "no primary is established")
     while True:
-        gate = _usable_primary(call)
+        gate = _find_primary(call)
         if not is_failure(gate):
-            found = await _try_connect(call, gate)
-            if not is_failure(found):
-                return found
-            if found.kind in _FINAL:
-                return found
-            reason = found
+            primary = await _try_connect(call, gate)
+            if not is_failure(primary):
+                return primary
+            if primary.kind in _NON_RETRYABLE_KINDS:
+                return primary
+            failure = primary
         else:
-            reason = gate
-        left = call.deadline - clock.now()
-        if left <= 0:
-            return _not_started(reason)
-        pause = RECHECK_S / 2 + backoff_s(attempt, call.environment.rng)
+            failure = gate
+        remaining_s = call.deadline - clock.now()
+        if remaining_s <= 0:
+            return _as_no_primary(failure)
+        pause_s = RETRY_INTERVAL_S / 2 + backoff_s(
+            attempt, call.environment.rng
+        )
         attempt += 1
-        await call.service.view.wait_change(clock.now() + min(left, pause))
+        await call.service.view.wait_for_update(
+            clock.now() + min(remaining_s, pause_s)
+        )
 
 
-_FINAL = {
+_NON_RETRYABLE_KINDS = {
     ErrorKind.NO_QUORUM,
     ErrorKind.DEADLINE_NOT_STARTED,
     ErrorKind.AUTHENTICATION_FAILED,
@@ -63,7 +67,7 @@
 }
 
 
-def _usable_primary(call: Call) -> EndpointGate | Failure:
+def _find_primary(call: Call) -> EndpointGate | Failure:
     view = call.service.view
     record = view.record
     gate = call.service.primary()
@@ -82,14 +86,14 @@
     view = call.service.view
     term = view.record.term
     wait_s = call.environment.entry.barrier_timeout_ms / 1000
-    until = min(call.deadline, clock.now() + wait_s)
-    missing = await view.check_quorum(until)
-    if missing is not None:
-        return missing
-    started = clock.now()
+    barrier_deadline = min(call.deadline, clock.now() + wait_s)
+    quorum_failure = await view.check_quorum(barrier_deadline)
+    if quorum_failure is not None:
+        return quorum_failure
+    started_at = clock.now()
     connection = await gate.pool.acquire(call.deadline, call.session.workspace)
     call.environment.metrics.observe_pool_wait(
-        gate.record.endpoint, clock.now() - started
+        gate.record.endpoint, clock.now() - started_at
     )
     if is_failure(connection):
         return connection
@@ -99,41 +103,56 @@
     return Primary(gate, connection, term)
 
 
-def _not_started(reason: Failure) -> Failure:
-    if reason.kind in (ErrorKind.OVERLOADED, ErrorKind.NO_PRIMARY):
-        return reason
-    return Failure(ErrorKind.NO_PRIMARY, reason.reason)
+def _as_no_primary(failure: Failure) -> Failure:
+    if failure.kind in (ErrorKind.OVERLOADED, ErrorKind.NO_PRIMARY):
+        return failure
+    return Failure(ErrorKind.NO_PRIMARY, failure.reason)
+
 
+async def run_until_replaced(call: Call, primary: Primary, work) -> Answer:
+    """Run `work`, but cancel it shortly after the primary was replaced.
 
-async def watch_term(call: Call, primary: Primary, work) -> Answer:
-    """Run `work`, but give it up soon after the primary was replaced.
+    Otherwise a frozen primary would block the caller until its deadline. If
+    the statement gets no answer within the silence timeout, the idle
+    connections to the primary are checked too, because connections may stop
+    responding together.
 
-    A frozen primary would otherwise hold the caller until its deadline. A
-    statement without an answer also makes the idle connections to the
-    primary suspect, since they may have gone silent together.
+    Parameters
+    ----------
+    call : Call
+        The statement.
+    primary : Primary
+        Primary on which `work` runs.
+    work : awaitable
+        Returns the answer.
+
+    Returns
+    -------
+    QueryResult or Failure
+        ``TIMEOUT`` if the primary was replaced before it answered.
     """
     task = asyncio.ensure_future(work)
     view = call.service.view
-    started = clock.now()
+    started_at = clock.now()
     silence_s = call.environment.pool.silence_timeout_ms / 1000
-    judged = False
+    silence_checked = False
     try:
         while not task.done():
             changed = asyncio.ensure_future(view.changed.wait())
-            left_s = max(0.0, started + silence_s - clock.now())
+            remaining_s = max(0.0, started_at + silence_s - clock.now())
             try:
                 await asyncio.wait(
                     {task, changed},
-                    timeout=None if judged else left_s,
+                    timeout=None if silence_checked else remaining_s,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
             finally:
                 changed.cancel()
-            if not judged and clock.now() >= started + silence_s:
-                judged = True
-                _judge_silence(primary.gate, task, started)
+            if not silence_checked and clock.now() >= started_at + silence_s:
+                silence_checked = True
+                _check_silence(primary.gate, task, started_at)
             if not task.done() and view.record.term > primary.term:
-                await asyncio.wait({task}, timeout=REPLACED_GRACE_S)
+                await asyncio.wait({task}, timeout=REPLACED_PRIMARY_GRACE_S)
                 break
         if task.done():
             return task.result()
@@ -146,19 +165,19 @@
             await asyncio.wait({task})
 
 
-def _judge_silence(gate: EndpointGate, task, started: float) -> None:
-    """Drop the idle connections if the endpoint answered nothing lately.
+def _check_silence(gate: EndpointGate, task, started_at: float) -> None:
+    """Close the idle connections if the endpoint has stopped answering.
 
-    Otherwise every statement that takes one of them would hang until its
-    own deadline. A slow statement beside others that are answered does not
-    count.
+    Otherwise every statement that takes one of them would hang until its own
+    deadline. A slow statement alone has no effect while other statements are
+    answered.
     """
-    if not task.done() and gate.answered_at < started:
+    if not task.done() and gate.last_answer_at < started_at:
         gate.pool.suspect_silence()
 
 
 async def run_on_primary(call: Call, primary: Primary, sql: str) -> Answer:
-    """Run a statement of the call on its connection to the primary."""
+    """Run a statement on a connection to the primary."""
     return await run_statement(
         primary.gate,
         primary.connection,
@@ -170,21 +189,28 @@
 
 
 async def run_begin(call: Call, primary: Primary, sql: str) -> Answer:
-    """Run BEGIN; give up a connection that seems to be silent.
+    """Run BEGIN; fail early if the connection seems to be unresponsive.
 
-    BEGIN has no effect that repeating it could double. A slow endpoint looks
-    like a silent connection, so giving up draws on the retry budget. Time in
-    the queue of the gate does not count: the connection is still usable then.
+    BEGIN has no effect, so it is safe to retry. A slow endpoint cannot be
+    told apart from an unresponsive connection, so failing early consumes the
+    retry budget. Time spent in the admission queue is not counted; the
+    connection is still usable during that time.
     """
     connection = primary.connection
     task = asyncio.ensure_future(run_on_primary(call, primary, sql))
     silence_s = call.environment.pool.silence_timeout_ms / 1000
     try:
         await asyncio.wait({task}, timeout=silence_s)
-        left_s = call.deadline - clock.now()
-        if not task.done() and not connection.usable and left_s > silence_s:
+        remaining_s = call.deadline - clock.now()
+        if (
+            not task.done()
+            and not connection.usable
+            and remaining_s > silence_s
+        ):
             if call.environment.retries.try_retry():
-                return Failure(ErrorKind.TIMEOUT, "connection went silent")
+                return Failure(
+                    ErrorKind.TIMEOUT, "connection stopped responding"
+                )
         return await task
     finally:
         if not task.done():
@@ -193,7 +219,7 @@
 
 
 async def confirm(call: Call, result: QueryResult, term: int) -> Answer:
-    """Acknowledge a result only once it is proven to last.
+    """Return a result only once a quorum confirms it.
 
     Parameters
     ----------
@@ -203,9 +229,14 @@
         Answer of the primary.
     term : int
         Term in which the statement was sent.
+
+    Returns
+    -------
+    QueryResult or Failure
+        ``DID_NOT_RUN`` or ``OUTCOME_UNKNOWN`` if it was not confirmed.
     """
     if result.commit is None:
-        return await _confirm_unchanged(call, result, term)
+        return await _confirm_read_only(call, result, term)
     return await confirm_position(call, result, result.commit)
 
 
@@ -222,29 +253,31 @@
             ErrorKind.DID_NOT_RUN,
             "the primary was replaced before the write was replicated",
         )
-    reason = f"no quorum held position {position.position} in time"
+    reason = (
+        f"no quorum confirmed position {position.position} before the deadline"
+    )
     return Failure(ErrorKind.OUTCOME_UNKNOWN, reason)
 
 
-async def _confirm_unchanged(
+async def _confirm_read_only(
     call: Call, result: QueryResult, term: int
 ) -> Answer:
-    """Prove that the primary was still in office when it answered.
+    """Verify that the endpoint was still the primary when it answered.
 
-    A replaced primary may have answered from old data; nothing was written,
-    so the caller may send the statement again.
+    A replaced primary may have answered from outdated data. Nothing was
+    written, so the caller may send the statement again.
     """
-    ready = await call.service.view.barrier(call.deadline)
-    if is_failure(ready):
-        return Failure(ErrorKind.DID_NOT_RUN, ready.reason)
+    barrier_result = await call.service.view.barrier(call.deadline)
+    if is_failure(barrier_result):
+        return Failure(ErrorKind.DID_NOT_RUN, barrier_result.reason)
     record = call.service.view.record
-    if record.term != term or ready.promised_term > term:
+    if record.term != term or barrier_result.promised_term > term:
         return Failure(ErrorKind.DID_NOT_RUN, "the primary was replaced")
     return result
 
 
-def was_refused(failure: Failure) -> bool:
-    """Tell whether a statement was provably not executed."""
+def was_not_executed(failure: Failure) -> bool:
+    """Return whether a failed statement was certainly not executed."""
     attempt = Attempt(
         Request.WRITE,
         failure.kind,
--- a/chivescale/pipeline/_read.py
+++ b/chivescale/pipeline/_read.py
@@ -14,16 +14,26 @@
 from chivescale.session import Token, parse_token
 
 MAX_ATTEMPTS = 6
-# With one replica down, the primary takes part in each barrier and is ahead
+# With one replica down, the primary takes part in every barrier and is ahead
 # of the remaining replica by the replication lag. Waiting this long for the
-# replica keeps the read off the primary.
-REPLICA_WAIT_S = 0.03
-# A replica that did not catch up in time is not waited for again this long.
-BEHIND_S = 1.0
-
-
-class _Plan(msgspec.Struct):
-    """Requirements of one attempt and the term that it must respect."""
+# replica to catch up keeps the read off the primary.
+REPLICA_CATCH_UP_TIMEOUT_S = 0.03
+# Time for which reads do not wait again for a replica that did not catch up.
+LAGGING_REPLICA_BACKOFF_S = 1.0
+
+
+class _ReadPlan(msgspec.Struct):
+    """Requirements of one attempt to run a read.
+
+    Attributes
+    ----------
+    need : Need
+        Requirements for the selection of an endpoint.
+    promised_term : int
+        Highest promised term seen by the barrier; 0 without a barrier.
+    barrier : bool
+        Whether a barrier was taken.
+    """
 
     need: Need
     promised_term: int
@@ -31,8 +41,8 @@
 
 
 async def read(call: Call) -> Answer:
-    """Run a read on an endpoint that is fresh enough."""
-    token = _token(call)
+    """Run a read on an endpoint that meets its freshness requirement."""
+    token = _apply_token(call)
     if is_failure(token):
         return token
     answer: Answer = Failure(ErrorKind.NO_QUORUM, "no attempt was possible")
@@ -41,12 +51,12 @@
         if not is_failure(answer) or not _may_retry(call, answer, attempt):
             break
         call.environment.metrics.count_retry()
-        pause = backoff_s(attempt, call.environment.rng)
-        await asyncio.sleep(min(pause, _left(call)))
+        pause_s = backoff_s(attempt, call.environment.rng)
+        await asyncio.sleep(min(pause_s, _remaining_s(call)))
     return _as_read_failure(answer) if is_failure(answer) else answer
 
 
-def _token(call: Call) -> Token | Failure | None:
+def _apply_token(call: Call) -> Token | Failure | None:
     if call.hints.token is None:
         return None
     token = parse_token(call.hints.token, call.session.service)
@@ -55,14 +65,16 @@
     return token
 
 
-async def _attempt(call: Call, token: Token | None, force: bool) -> Answer:
-    plan = await _plan(call, token, force)
+async def _attempt(
+    call: Call, token: Token | None, force_barrier: bool
+) -> Answer:
+    plan = await _make_plan(call, token, force_barrier)
     if is_failure(plan):
         return plan
     gate = _choose(call, plan)
     if is_failure(gate) and not plan.barrier:
-        # No proven age is low enough; a barrier proves a fresh one.
-        plan = await _plan(call, token, True)
+        # No endpoint is proven to be fresh enough, so take a barrier.
+        plan = await _make_plan(call, token, True)
         if is_failure(plan):
             return plan
         gate = _choose(call, plan)
@@ -74,67 +86,73 @@
 
 
 async def _prefer_replica(
-    call: Call, primary: EndpointGate, plan: _Plan
+    call: Call, primary: EndpointGate, plan: _ReadPlan
 ) -> EndpointGate:
-    """Return a replica that reaches the barrier shortly, or the primary."""
+    """Return a replica that catches up with the barrier, or the primary."""
     now = clock.now()
-    if _left(call) < 4 * REPLICA_WAIT_S:
+    if _remaining_s(call) < 4 * REPLICA_CATCH_UP_TIMEOUT_S:
         return primary
     view = call.service.view
-    near = [
+    replicas = [
         gate
         for gate in call.service.gates.values()
         if gate is not primary
         and not gate.leaving
         and gate.suspect_until <= now
-        and gate.behind_until <= now
+        and gate.lagging_until <= now
         and gate.in_use < gate.limit.limit
         and view.freshness.promised_ok(
             gate.record.endpoint, plan.promised_term
         )
     ]
-    if not near:
+    if not replicas:
         return primary
     gate = min(
-        near, key=lambda gate: gate.record.zone != call.environment.zone
+        replicas, key=lambda gate: gate.record.zone != call.environment.zone
     )
     name = gate.record.endpoint
-    if await view.wait_position(name, plan.need.position, REPLICA_WAIT_S):
+    if await view.wait_for_position(
+        name, plan.need.position, REPLICA_CATCH_UP_TIMEOUT_S
+    ):
         return gate
-    gate.behind_until = now + BEHIND_S
+    gate.lagging_until = now + LAGGING_REPLICA_BACKOFF_S
     return primary
 
 
-async def _plan(call: Call, token: Token | None, force: bool):
-    """Return what the read needs, after a barrier where one is due."""
+async def _make_plan(call: Call, token: Token | None, force_barrier: bool):
+    """Return the plan of an attempt, after a barrier if one is needed."""
     position = call.state.position
     max_age_s = _max_age_s(call)
-    due = force or max_age_s == 0 or position.needs_barrier(token is not None)
-    if not due:
+    barrier_needed = (
+        force_barrier
+        or max_age_s == 0
+        or position.needs_barrier(token is not None)
+    )
+    if not barrier_needed:
         need = Need(
             zone=call.environment.zone,
             position=position.required(token),
             max_age_s=max_age_s,
         )
-        return _Plan(need, 0, False)
+        return _ReadPlan(need, 0, False)
     wait_s = call.environment.entry.barrier_timeout_ms / 1000
-    until = min(call.deadline, clock.now() + wait_s)
-    ready = await call.service.view.barrier(until)
-    if is_failure(ready):
-        return ready
+    barrier_deadline = min(call.deadline, clock.now() + wait_s)
+    barrier_result = await call.service.view.barrier(barrier_deadline)
+    if is_failure(barrier_result):
+        return barrier_result
     required = position.required(token)
-    needed = max(ready.position, required or ready.position)
+    needed = max(barrier_result.position, required or barrier_result.position)
     need = Need(zone=call.environment.zone, position=needed)
-    return _Plan(need, ready.promised_term, True)
+    return _ReadPlan(need, barrier_result.promised_term, True)
 
 
 def _max_age_s(call: Call) -> float:
-    stated = call.hints.staleness_ms
-    accepted = call.binding.staleness_ms if stated is None else stated
-    return accepted / 1000
+    hinted_ms = call.hints.staleness_ms
+    max_age_ms = call.binding.staleness_ms if hinted_ms is None else hinted_ms
+    return max_age_ms / 1000
 
 
-def _choose(call: Call, plan: _Plan) -> EndpointGate | Failure:
+def _choose(call: Call, plan: _ReadPlan) -> EndpointGate | Failure:
     service = call.service
     record = service.view.record
     now = clock.now()
@@ -150,10 +168,13 @@
     name = gate.record.endpoint
     position = plan.need.position
     freshness = view.freshness
-    # What is known of another incarnation says nothing about the data that
-    # the pool's connections lead to.
-    known = freshness.incarnation(name)
-    same = known is None or known == gate.record.incarnation
+    # Freshness recorded for another incarnation does not apply to the data
+    # that the connections of the pool reach.
+    known_incarnation = freshness.incarnation(name)
+    same_incarnation = (
+        known_incarnation is None
+        or known_incarnation == gate.record.incarnation
+    )
     return Candidate(
         endpoint=name,
         zone=gate.record.zone,
@@ -162,24 +183,27 @@
         in_use=gate.in_use,
         limit=gate.limit.limit,
         latency_s=gate.latency_s,
-        proven_age_s=freshness.proven_age_s(name, now) if same else None,
-        holds_position=same
+        proven_age_s=freshness.proven_age_s(name, now)
+        if same_incarnation
+        else None,
+        holds_position=same_incarnation
         and (position is None or freshness.holds(name, position)),
-        promised_ok=same and freshness.promised_ok(name, plan.promised_term),
+        promised_ok=same_incarnation
+        and freshness.promised_ok(name, plan.promised_term),
         suspect=gate.suspect_until > now,
     )
 
 
-async def _run(call: Call, gate: EndpointGate, plan: _Plan) -> Answer:
+async def _run(call: Call, gate: EndpointGate, plan: _ReadPlan) -> Answer:
     name = gate.record.endpoint
     primary = name == call.service.view.record.primary
-    call.measured = "read_primary" if primary else "read_replica"
-    waited_from = clock.now()
+    call.latency_class = "read_primary" if primary else "read_replica"
+    started_at = clock.now()
     connection = await gate.pool.acquire(call.deadline, call.session.workspace)
     metrics = call.environment.metrics
-    metrics.observe_pool_wait(name, clock.now() - waited_from)
+    metrics.observe_pool_wait(name, clock.now() - started_at)
     if is_failure(connection):
-        gate.suspect()
+        gate.mark_suspect()
         return connection
     try:
         answer = await _query(call, gate, connection)
@@ -187,18 +211,19 @@
         gate.pool.release(connection)
     if is_failure(answer):
         if answer.kind is ErrorKind.TIMEOUT:
-            gate.suspect()
+            gate.mark_suspect()
         return answer
     metrics.count_read("primary" if primary else "replica")
-    _note_position(call, plan)
+    _record_barrier(call, plan)
     return answer
 
 
 async def _query(call: Call, gate: EndpointGate, connection) -> Answer:
-    """Run the read; give up a silent connection if a retry is allowed.
+    """Run the read; fail early if the connection seems to be unresponsive.
 
-    A connection may have gone silent while new ones work. Slow statements
-    look the same, so this retry draws on the retry budget.
+    An existing connection may have stopped responding while new ones work.
+    A slow statement cannot be told apart from that, so failing early consumes
+    the retry budget.
     """
     task = asyncio.ensure_future(
         run_statement(
@@ -213,10 +238,12 @@
     silence_s = call.environment.pool.silence_timeout_ms / 1000
     try:
         await asyncio.wait({task}, timeout=silence_s)
-        if not task.done() and _left(call) > silence_s:
+        if not task.done() and _remaining_s(call) > silence_s:
             if call.environment.retries.try_retry():
                 gate.pool.suspect_silence()
-                return Failure(ErrorKind.TIMEOUT, "connection went silent")
+                return Failure(
+                    ErrorKind.TIMEOUT, "connection stopped responding"
+                )
         return await task
     finally:
         if not task.done():
@@ -224,17 +251,18 @@
             await asyncio.wait({task})
 
 
-def _note_position(call: Call, plan: _Plan) -> None:
+def _record_barrier(call: Call, plan: _ReadPlan) -> None:
     position: Position | None = plan.need.position
     if plan.barrier and position is not None:
         call.state.position.barrier_taken(position)
 
 
 def _may_retry(call: Call, failure: Failure, attempt: int) -> bool:
-    if attempt + 1 >= MAX_ATTEMPTS or _left(call) <= 0:
+    if attempt + 1 >= MAX_ATTEMPTS or _remaining_s(call) <= 0:
         return False
     if failure.kind is ErrorKind.FRESHNESS_UNPROVED:
-        # Waiting for replication or a new term costs the endpoints nothing.
+        # Waiting for replication or a new term puts no load on the endpoints,
+        # so this retry does not consume the retry budget.
         return True
     failed = Attempt(
         Request.READ,
@@ -249,11 +277,11 @@
 
 
 def _as_read_failure(failure: Failure) -> Failure:
-    """Translate a transport failure into what a reader is told."""
+    """Convert a transport failure into the failure reported to the caller."""
     if failure.kind is ErrorKind.TIMEOUT:
         return Failure(ErrorKind.DEADLINE_READ, failure.reason)
     return failure
 
 
-def _left(call: Call) -> float:
+def _remaining_s(call: Call) -> float:
     return max(0.0, call.deadline - clock.now())
--- a/chivescale/pipeline/_service.py
+++ b/chivescale/pipeline/_service.py
@@ -1,42 +1,45 @@
-"""Shell around the consistency decisions of one service."""
+"""Asyncio driver of the consistency state machines of one service."""
 
 import asyncio
 import collections.abc
 
-from chivescale import clock
-from chivescale import session as decisions
+from chivescale import clock, session
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.messages import EndpointStatus, Position, ServiceRecord
 from chivescale.transport import Client
 
-BARRIER_ASK_S = 0.5
+BARRIER_REQUEST_TIMEOUT_S = 0.5
 POSITION_WAIT_MS = 500
-POSITION_ASK_S = 0.8
-HISTORY_ASK_S = 0.5
-# A quorum answer this recent is evidence enough to send a write; older
-# evidence is renewed by a barrier first, so that a cut-off zone refuses
+POSITION_REQUEST_TIMEOUT_S = 0.8
+STATUS_REQUEST_TIMEOUT_S = 0.5
+# A write is sent only if a quorum answered within this time; otherwise a
+# barrier is taken first. An availability zone that is cut off thus rejects
 # writes before they run.
-QUORUM_EVIDENCE_S = 1.0
+QUORUM_PROOF_VALIDITY_S = 1.0
 
 
 class ServiceView:
-    """Barriers, confirmations and freshness of one service.
+    """Barriers, write confirmations and freshness of one service.
 
     Parameters
     ----------
     client : Client
-        Transport to the endpoints' admin interface.
+        Transport to the admin interfaces of the endpoints.
     on_status : callable
-        Called with each status that an endpoint answered.
+        Called with each status received from an endpoint.
 
     Attributes
     ----------
     record : ServiceRecord
-        Established term as published.
+        Published record with the established term.
+    addresses : dict of str
+        Admin addresses of the endpoints by name.
     freshness : Freshness
-        Proven ages.
+        Proven ages of the endpoints.
     quorum_at : float
-        Monotonic time of the last proof that a quorum answers.
+        Monotonic time of the last proof that a quorum responds.
+    changed : asyncio.Event
+        Set, and replaced by a new event, at each published change.
     """
 
     def __init__(
@@ -48,34 +51,40 @@
         self.on_status = on_status
         self.record = ServiceRecord("")
         self.addresses: dict[str, str] = {}
-        self.barriers = decisions.Barriers()
-        self.confirmations = decisions.Confirmations()
-        self.freshness = decisions.Freshness()
+        self.barriers = session.Barriers()
+        self.confirmations = session.Confirmations()
+        self.freshness = session.Freshness()
         self.waiters: dict[int, asyncio.Future] = {}
-        self.last_id = 0
+        self.last_waiter_id = 0
         self.quorum_at = float("-inf")
         self.tasks: set[asyncio.Task] = set()
-        self.position_waits: dict[tuple, asyncio.Task] = {}
+        self.position_requests: dict[tuple, asyncio.Task] = {}
         self.timers: dict[str, asyncio.TimerHandle] = {}
         self.changed = asyncio.Event()
 
     def update(self, record: ServiceRecord, addresses: dict[str, str]) -> None:
-        """Take over the published state of the service."""
+        """Apply the published state of the service."""
         self.addresses = addresses
         if record == self.record:
             return
-        newer = record.term > self.record.term
+        is_newer = record.term > self.record.term
         self.record = record
-        if newer:
-            self._barrier_event(_term_changed(record))
-            self._confirm_event(decisions.TermEstablished(record))
+        if is_newer:
+            self._step_barriers(_term_changed(record))
+            self._step_confirmations(session.TermEstablished(record))
             self.freshness.term_changed(record)
             self.quorum_at = clock.now()
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def wait_change(self, deadline: float) -> bool:
-        """Wait until another state of the service is published."""
+    async def wait_for_update(self, deadline: float) -> bool:
+        """Wait for the next published change of the service.
+
+        Returns
+        -------
+        bool
+            False if the deadline passed first.
+        """
         changed = self.changed
         try:
             async with asyncio.timeout(deadline - clock.now()):
@@ -84,13 +93,14 @@
             return False
         return True
 
-    async def barrier(
-        self, deadline: float
-    ) -> decisions.BarrierReady | Failure:
-        """Return a barrier sent after this call, shared where possible."""
-        number, future = self._waiter()
-        self._barrier_event(decisions.Join(number, deadline))
-        return await self._outcome(number, future)
+    async def barrier(self, deadline: float) -> session.BarrierReady | Failure:
+        """Return a barrier whose round was sent after this call.
+
+        Concurrent calls share a round where possible.
+        """
+        waiter_id, future = self._add_waiter()
+        self._step_barriers(session.Join(waiter_id, deadline))
+        return await self._wait_for(waiter_id, future)
 
     async def confirm(self, position: Position, deadline: float):
         """Wait for the outcome of a write at `position`.
@@ -99,100 +109,113 @@
         -------
         Confirmed, ProvedAbsent or Unknown
         """
-        number, future = self._waiter()
-        self._confirm_event(decisions.Wait(number, position, deadline))
-        return await self._outcome(number, future)
+        waiter_id, future = self._add_waiter()
+        self._step_confirmations(session.Wait(waiter_id, position, deadline))
+        return await self._wait_for(waiter_id, future)
 
     async def check_quorum(self, deadline: float) -> Failure | None:
-        """Prove that a quorum of the voters answers now or did lately."""
-        if clock.now() - self.quorum_at < QUORUM_EVIDENCE_S:
+        """Check that a quorum of the voters responds or did so recently.
+
+        Returns
+        -------
+        Failure or None
+            None if the quorum is proven.
+        """
+        if clock.now() - self.quorum_at < QUORUM_PROOF_VALIDITY_S:
             return None
         answer = await self.barrier(deadline)
         return answer if is_failure(answer) else None
 
-    async def wait_position(
+    async def wait_for_position(
         self, endpoint: str, position: Position, wait_s: float
     ) -> bool:
-        """Wait until an endpoint holds `position`; calls share one ask."""
+        """Wait until an endpoint holds `position`.
+
+        Concurrent calls for the same endpoint and position share a request.
+        """
         key = (endpoint, position)
-        task = self.position_waits.get(key)
+        task = self.position_requests.get(key)
         if task is None:
             path = _position_path(position, int(wait_s * 1000))
-            task = self._spawn(self._ask(endpoint, path, wait_s + 0.2))
-            self.position_waits[key] = task
-            task.add_done_callback(lambda _: self.position_waits.pop(key))
-        # One caller that leaves must not cancel the ask of the others.
+            task = self._spawn(
+                self._request_status(endpoint, path, wait_s + 0.2)
+            )
+            self.position_requests[key] = task
+            task.add_done_callback(lambda _: self.position_requests.pop(key))
+        # Cancelling one call must not cancel the request of the others.
         status = await asyncio.shield(task)
         return status is not None and status.last >= position
 
-    async def status_of(self, endpoint: str) -> EndpointStatus | None:
-        """Return the present status of an endpoint; None without answer."""
-        return await self._ask(endpoint, "/v1/position", HISTORY_ASK_S)
+    async def fetch_status(self, endpoint: str) -> EndpointStatus | None:
+        """Return the current status of an endpoint, or None on failure."""
+        return await self._request_status(
+            endpoint, "/v1/position", STATUS_REQUEST_TIMEOUT_S
+        )
 
     def close(self) -> None:
-        """End all questions; waiting callers get ``SHUTTING_DOWN``."""
+        """Cancel all requests and fail waiting calls as ``SHUTTING_DOWN``."""
         for timer in self.timers.values():
             timer.cancel()
         for task in self.tasks:
             task.cancel()
-        failure = Failure(ErrorKind.SHUTTING_DOWN, "service closed")
+        failure = Failure(ErrorKind.SHUTTING_DOWN, "service was closed")
         for future in self.waiters.values():
             if not future.done():
                 future.set_result(failure)
 
-    def _waiter(self) -> tuple[int, asyncio.Future]:
-        self.last_id += 1
+    def _add_waiter(self) -> tuple[int, asyncio.Future]:
+        self.last_waiter_id += 1
         future = asyncio.get_running_loop().create_future()
-        self.waiters[self.last_id] = future
-        return self.last_id, future
+        self.waiters[self.last_waiter_id] = future
+        return self.last_waiter_id, future
 
-    async def _outcome(self, number: int, future: asyncio.Future):
+    async def _wait_for(self, waiter_id: int, future: asyncio.Future):
         try:
             return await future
         finally:
-            self.waiters.pop(number, None)
+            self.waiters.pop(waiter_id, None)
 
-    def _resolve(self, number: int, outcome) -> None:
-        future = self.waiters.get(number)
+    def _complete(self, waiter_id: int, outcome) -> None:
+        future = self.waiters.get(waiter_id)
         if future is not None and not future.done():
             future.set_result(outcome)
 
-    def _barrier_event(self, event) -> None:
+    def _step_barriers(self, event) -> None:
         now = clock.now()
         for effect in self.barriers.step(event, now):
             match effect:
-                case decisions.StartRound():
+                case session.StartRound():
                     self._start_round(effect)
-                case decisions.BarrierReady():
+                case session.BarrierReady():
                     self.quorum_at = max(self.quorum_at, effect.sent_at)
                     self.freshness.add_sample(
                         effect.sent_at, effect.position, effect.promised_term
                     )
-                    for number in effect.read_ids:
-                        self._resolve(number, effect)
-                case decisions.BarrierFailed():
-                    for number in effect.read_ids:
-                        self._resolve(number, effect.failure)
-        self._schedule("barrier", self.barriers.wake_at, self._barrier_event)
-
-    def _confirm_event(self, event) -> None:
+                    for waiter_id in effect.read_ids:
+                        self._complete(waiter_id, effect)
+                case session.BarrierFailed():
+                    for waiter_id in effect.read_ids:
+                        self._complete(waiter_id, effect.failure)
+        self._schedule("barrier", self.barriers.wake_at, self._step_barriers)
+
+    def _step_confirmations(self, event) -> None:
         now = clock.now()
         for effect in self.confirmations.step(event, now):
             match effect:
-                case decisions.AskPositions():
+                case session.AskPositions():
                     for endpoint in effect.endpoints:
                         self._spawn(
-                            self._ask_position(endpoint, effect.position)
+                            self._request_position(endpoint, effect.position)
                         )
-                case decisions.AskHistory():
-                    self._spawn(self._ask_history(effect.endpoint))
-                case decisions.Confirmed():
+                case session.AskHistory():
+                    self._spawn(self._request_history(effect.endpoint))
+                case session.Confirmed():
                     self.quorum_at = now
-                    self._resolve(effect.write_id, effect)
-                case decisions.ProvedAbsent() | decisions.Unknown():
-                    self._resolve(effect.write_id, effect)
+                    self._complete(effect.write_id, effect)
+                case session.ProvedAbsent() | session.Unknown():
+                    self._complete(effect.write_id, effect)
         self._schedule(
-            "confirm", self.confirmations.wake_at, self._confirm_event
+            "confirm", self.confirmations.wake_at, self._step_confirmations
         )
 
     def _schedule(self, name: str, at: float | None, handle) -> None:
@@ -203,7 +226,7 @@
             return
         delay = max(0.001, at - clock.now())
         self.timers[name] = asyncio.get_running_loop().call_later(
-            delay, handle, decisions.Tick()
+            delay, handle, session.Tick()
         )
 
     def _spawn(self, coroutine) -> asyncio.Task:
@@ -212,38 +235,48 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    def _start_round(self, effect: decisions.StartRound) -> None:
+    def _start_round(self, effect: session.StartRound) -> None:
         for endpoint in effect.endpoints:
             self._spawn(
-                self._ask_barrier(effect.round, endpoint, effect.fresh)
+                self._request_barrier_status(
+                    effect.round, endpoint, effect.fresh
+                )
             )
 
-    async def _ask_barrier(self, number: int, endpoint: str, fresh: bool):
-        status = await self._ask(
-            endpoint, "/v1/position", BARRIER_ASK_S, fresh=fresh
+    async def _request_barrier_status(
+        self, round_id: int, endpoint: str, fresh: bool
+    ):
+        status = await self._request_status(
+            endpoint, "/v1/position", BARRIER_REQUEST_TIMEOUT_S, fresh=fresh
         )
         if status is None:
-            event = decisions.StatusFailed(number, endpoint)
+            event = session.StatusFailed(round_id, endpoint)
         else:
-            event = decisions.StatusReceived(number, endpoint, status)
-        self._barrier_event(event)
+            event = session.StatusReceived(round_id, endpoint, status)
+        self._step_barriers(event)
 
-    async def _ask_position(self, endpoint: str, position: Position):
+    async def _request_position(self, endpoint: str, position: Position):
         path = _position_path(position, POSITION_WAIT_MS)
-        status = await self._ask(endpoint, path, POSITION_ASK_S)
+        status = await self._request_status(
+            endpoint, path, POSITION_REQUEST_TIMEOUT_S
+        )
         if status is None:
-            self._confirm_event(decisions.AskFailed(endpoint))
+            self._step_confirmations(session.AskFailed(endpoint))
         else:
-            self._confirm_event(decisions.PositionReceived(endpoint, status))
+            self._step_confirmations(
+                session.PositionReceived(endpoint, status)
+            )
 
-    async def _ask_history(self, endpoint: str):
-        status = await self._ask(endpoint, "/v1/position", HISTORY_ASK_S)
+    async def _request_history(self, endpoint: str):
+        status = await self._request_status(
+            endpoint, "/v1/position", STATUS_REQUEST_TIMEOUT_S
+        )
         if status is None:
-            self._confirm_event(decisions.HistoryFailed(endpoint))
+            self._step_confirmations(session.HistoryFailed(endpoint))
         else:
-            self._confirm_event(decisions.HistoryReceived(endpoint, status))
+            self._step_confirmations(session.HistoryReceived(endpoint, status))
 
-    async def _ask(
+    async def _request_status(
         self,
         endpoint: str,
         path: str,
@@ -276,7 +309,7 @@
     )
 
 
-def _term_changed(record: ServiceRecord) -> decisions.TermChanged:
-    return decisions.TermChanged(
+def _term_changed(record: ServiceRecord) -> session.TermChanged:
+    return session.TermChanged(
         record.voters, record.incarnations, record.primary, record.term
     )
--- a/chivescale/pipeline/_write.py
+++ b/chivescale/pipeline/_write.py
@@ -10,8 +10,8 @@
     confirm,
     connect_primary,
     run_on_primary,
-    was_refused,
-    watch_term,
+    run_until_replaced,
+    was_not_executed,
 )
 from chivescale.retry import backoff_s
 
@@ -19,10 +19,10 @@
 async def write(call: Call) -> Answer:
     """Run a write on the primary and confirm it by a quorum.
 
-    The write is sent again only if the endpoint refused it or no byte of
-    it can have left this host.
+    The write is retried only if the endpoint rejected it or if nothing of it
+    can have left this host.
     """
-    call.measured = "write"
+    call.latency_class = "write"
     attempt = 0
     while True:
         primary = await connect_primary(call)
@@ -31,8 +31,8 @@
         answer = await _send(call, primary)
         if not is_failure(answer):
             return await confirm(call, answer, primary.term)
-        if not was_refused(answer):
-            return in_doubt(answer)
+        if not was_not_executed(answer):
+            return _as_write_failure(answer)
         if clock.now() >= call.deadline:
             return Failure(ErrorKind.DID_NOT_RUN, answer.reason)
         await asyncio.sleep(backoff_s(attempt, call.environment.rng))
@@ -41,21 +41,24 @@
 
 async def _send(call: Call, primary: Primary) -> Answer:
     try:
-        return await watch_term(
+        return await run_until_replaced(
             call,
             primary,
             run_on_primary(call, primary, call.sql),
         )
     finally:
-        # The driver gives no answer in time only if the connection is
-        # silent or the primary frozen; both concern its other connections.
+        # The connection becomes unusable only if it stopped responding or the
+        # primary is frozen. Both may affect the other connections as well.
         if not primary.connection.usable:
             primary.gate.pool.suspect_silence()
         primary.gate.pool.release(primary.connection)
 
 
-def in_doubt(failure: Failure) -> Failure:
-    """Translate the failure of a write that was sent."""
+def _as_write_failure(failure: Failure) -> Failure:
+    """Convert the failure of a write that was sent.
+
+    The outcome of a write that timed out is unknown.
+    """
     if failure.kind is ErrorKind.TIMEOUT:
         return Failure(ErrorKind.OUTCOME_UNKNOWN, failure.reason)
     return failure
--- a/chivescale/pipeline/tests/replaced.feature
+++ b/chivescale/pipeline/tests/replaced.feature
@@ -1,12 +1,12 @@
-Feature: A primary that is replaced while a statement waits
-  Guards against the answer "did not run" for a write whose COMMIT had left:
-  the new primary may hold it. Found by run_random(6, 30) of the whole system
-  with the barrier of reads removed.
+Feature: A primary that is replaced while a statement is pending
+  Guards against reporting "did not run" for a write whose COMMIT was already
+  sent, because the new primary may hold it. Found by run_random(6, 30) of the
+  entry tests with the barrier of reads removed.
 
-  Scenario Outline: A keyed write whose <statement> has no answer
-    Given a primary that answers everything but <statement>
+  Scenario Outline: A keyed write whose <statement> gets no answer
+    Given a primary that answers every statement except <statement>
     When a keyed write of "<sql>" runs and the primary is replaced
-    Then the caller is told <kind>
+    Then the caller gets the error <kind>
 
     Examples:
       | statement | sql                       | kind            |
@@ -14,15 +14,15 @@
       | COMMIT    | INSERT INTO t VALUES (1)  | outcome_unknown |
       | CREATE    | CREATE TABLE t (id INT)   | outcome_unknown |
 
-  Scenario: A keyed write whose BEGIN has no answer
-    Given a primary that answers everything but BEGIN
+  Scenario: A keyed write whose BEGIN gets no answer
+    Given a primary that answers every statement except BEGIN
     When a keyed write of "INSERT INTO t VALUES (1)" runs and the primary is replaced
-    Then the write is attempted again
+    Then the write is retried
 
-  Scenario Outline: A statement of a transaction without an answer
-    Given a primary that answers everything but <statement>
+  Scenario Outline: A statement of a transaction that gets no answer
+    Given a primary that answers every statement except <statement>
     When "<sql>" runs in a transaction and the primary is replaced
-    Then the caller is told <kind>
+    Then the caller gets the error <kind>
 
     Examples:
       | statement | sql                       | kind                |
--- a/chivescale/pipeline/tests/steps/gate_steps.py
+++ b/chivescale/pipeline/tests/steps/gate_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the places at an endpoint."""
+"""Steps for the concurrency slots of an endpoint."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 from chivescale.errors import ErrorKind
 from chivescale.messages import EndpointRecord
 from chivescale.pipeline._gate import EndpointGate, run_statement
-from chivescale.pipeline._primary import Primary, watch_term
+from chivescale.pipeline._primary import Primary, run_until_replaced
 from chivescale.settings import PoolSettings
 
 RECORD = EndpointRecord("e-1", "ledger", "a", "i", "ip:1", "ip:2", 2, 35)
@@ -17,7 +17,7 @@
 
 
 class FakeConnection:
-    """Connection whose statements wait for an event."""
+    """Connection whose statements complete when an event is set."""
 
     def __init__(self, in_transaction, done):
         self.in_transaction = in_transaction
@@ -30,8 +30,8 @@
         return types.SimpleNamespace(errno=0)
 
 
-@given("an endpoint with 2 places, all held by statements that wait")
-def all_places_taken(context):
+@given("an endpoint with 2 slots, all held by statements that wait")
+def all_slots_in_use(context):
     context.gate = EndpointGate(RECORD, None)
 
 
@@ -59,29 +59,29 @@
     asyncio.run(run())
 
 
-@then("it runs at once")
-def runs_at_once(context):
+@then("it runs immediately")
+def runs_immediately(context):
     assert context.connection.started
     assert context.answer.errno == 0
 
 
-@then("it is refused unstarted")
-def refused_unstarted(context):
+@then("it is rejected without being sent")
+def rejected_without_being_sent(context):
     assert not context.connection.started
     assert context.answer.kind is ErrorKind.DEADLINE_NOT_STARTED
 
 
-@then("all places are free after the waiting statements have ended")
-def all_free(context):
+@then("all slots are free after the waiting statements have ended")
+def all_slots_free(context):
     assert context.gate.limit.in_use == 0
     assert len(context.gate.queue) == 0
 
 
 @given("an endpoint with idle connections")
 def idle_connections(context):
-    context.dropped = []
+    context.closed = []
     pool = types.SimpleNamespace(
-        suspect_silence=lambda: context.dropped.append(True)
+        suspect_silence=lambda: context.closed.append(True)
     )
     context.gate = EndpointGate(RECORD, pool)
 
@@ -100,14 +100,14 @@
         )
         primary = Primary(context.gate, None, 1)
         work = asyncio.ensure_future(
-            watch_term(call, primary, asyncio.Event().wait())
+            run_until_replaced(call, primary, asyncio.Event().wait())
         )
         await asyncio.sleep(0)
         if state == "answered":
-            context.gate.join()
-            context.gate.leave(0.001, True)
+            context.gate.acquire_slot_over_limit()
+            context.gate.release_slot(0.001, True)
         await asyncio.sleep(WAIT_S)
-        # A change of the state must not repeat the judgement.
+        # A change of the state must not repeat the check.
         view.changed.set()
         view.changed = asyncio.Event()
         await asyncio.sleep(WAIT_S)
@@ -117,6 +117,6 @@
     asyncio.run(run())
 
 
-@then("the idle connections are dropped {times:d} times")
-def dropped_times(context, times):
-    assert len(context.dropped) == times
+@then("the idle connections are closed {times:d} times")
+def closed_times(context, times):
+    assert len(context.closed) == times
--- a/chivescale/pipeline/tests/steps/replaced_steps.py
+++ b/chivescale/pipeline/tests/steps/replaced_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a primary that is replaced while a statement waits."""
+"""Steps for a primary that is replaced while a statement is pending."""
 
 import asyncio
 import time
@@ -19,17 +19,17 @@
 RECORD = EndpointRecord("e-1", "ledger", "a", "i", "ip:1", "ip:2", 2, 35)
 
 
-class SilentConnection:
-    """Connection of an endpoint that does not answer one statement."""
+class UnresponsiveConnection:
+    """Connection that does not answer one kind of statement."""
 
-    def __init__(self, silent):
-        self.silent = silent
+    def __init__(self, unanswered):
+        self.unanswered = unanswered
         self.waiting = asyncio.Event()
         self.usable = True
         self.in_transaction = True
 
     async def query(self, sql, _deadline):
-        if not sql.startswith(self.silent) or "chivescale_request" in sql:
+        if not sql.startswith(self.unanswered) or "chivescale_request" in sql:
             return QueryResult(commit=Position(1, 1))
         self.usable = False
         self.waiting.set()
@@ -39,15 +39,15 @@
         self.in_transaction = False
 
 
-class View:
-    """View of a service whose primary is replaced by none."""
+class FakeView:
+    """View of a service whose new primary is not available."""
 
     def __init__(self):
         self.record = types.SimpleNamespace(term=1, primary="e-1")
         self.freshness = types.SimpleNamespace(highest_promised=1)
         self.changed = asyncio.Event()
 
-    async def wait_change(self, until):
+    async def wait_for_update(self, until):
         await asyncio.sleep(max(0.0, until - time.monotonic()))
 
     def replace(self):
@@ -56,7 +56,7 @@
 
 
 def make_call(view, sql):
-    """Return a call on the service of a view."""
+    """Return a fake call on the service of a view."""
     metrics = types.SimpleNamespace(observe_queue=lambda _seconds: None)
     environment = types.SimpleNamespace(
         metrics=metrics,
@@ -72,26 +72,26 @@
         ),
         hints=types.SimpleNamespace(key="k1"),
         state=types.SimpleNamespace(pinned=None),
-        kind=StatementClass.WRITE,
+        statement_class=StatementClass.WRITE,
         sql=sql,
         deadline=time.monotonic() + DEADLINE_S,
     )
 
 
-@given("a primary that answers everything but {statement}")
-def silent_statement(context, statement):
+@given("a primary that answers every statement except {statement}")
+def unanswered_statement(context, statement):
     context.statement = statement
 
 
-def run_replaced(context, sql, start):
-    """Run a statement and replace the primary while it waits."""
+def run_and_replace(context, sql, start):
+    """Run a statement and replace the primary while it is pending."""
 
     async def run():
-        view = View()
+        view = FakeView()
         pool = types.SimpleNamespace(
             release=lambda _connection: None, suspect_silence=lambda: None
         )
-        connection = SilentConnection(context.statement)
+        connection = UnresponsiveConnection(context.statement)
         primary = Primary(EndpointGate(RECORD, pool), connection, 1)
         call = make_call(view, sql)
         work = asyncio.ensure_future(start(call, primary))
@@ -108,12 +108,13 @@
     async def start(call, primary):
         key = _keyed.make_key(call, call.sql)
         answer = await _keyed._attempt(call, key, primary)
-        if answer is None:  # the next attempt finds no primary
-            context.again = True
+        # The caller of `_attempt` would retry.
+        if answer is None:
+            context.retried = True
         return answer
 
-    context.again = False
-    run_replaced(context, sql, start)
+    context.retried = False
+    run_and_replace(context, sql, start)
 
 
 @when('"{sql}" runs in a transaction and the primary is replaced')
@@ -127,17 +128,17 @@
             wrote=False,
             statements=[],
         )
-        return await _transaction.in_transaction(call)
+        return await _transaction.run_in_transaction(call)
 
-    context.again = False
-    run_replaced(context, sql, start)
+    context.retried = False
+    run_and_replace(context, sql, start)
 
 
-@then("the caller is told {kind}")
-def told(context, kind):
+@then("the caller gets the error {kind}")
+def gets_error(context, kind):
     assert context.answer.kind == kind, context.answer
 
 
-@then("the write is attempted again")
-def attempted_again(context):
-    assert context.again and context.answer is None, context.answer
+@then("the write is retried")
+def write_retried(context):
+    assert context.retried and context.answer is None, context.answer
