--- a/chivescale/entry/__init__.py
+++ b/chivescale/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry role: serves callers and watches services."""
+"""Entry role: serves callers and probes the endpoints of services."""
 
 from chivescale.entry._api import EntryStatus
 from chivescale.entry._host import EntryHost
--- a/chivescale/entry/_api.py
+++ b/chivescale/entry/_api.py
@@ -9,27 +9,29 @@
 from chivescale.messages import Accepted, Announcement
 from chivescale.transport import Request, Route
 
-RELAY_TIMEOUT_S = 2.0
+FORWARD_TIMEOUT_S = 2.0
 MAX_WAIT_MS = 10_000
 
 
 class EntryStatus(msgspec.Struct, frozen=True):
-    """State of one entry host for operators.
+    """Status of one entry host for operators.
 
     Attributes
     ----------
+    host, zone : str
+        Name and availability zone of the host.
     index : int
-        Log index in force.
+        Log index of the applied state.
     sheet : int
-        Number of the sheet in force; 0 for none.
+        Number of the current sheet; 0 for none.
     ready, draining : bool
-        Whether new connections are welcome; whether the host drains.
+        Whether new connections are accepted; whether the host is draining.
     callers, transactions : int
-        Open caller connections and transactions.
+        Number of open caller connections and transactions.
     held : dict of int
-        Connections open per endpoint.
+        Number of connections held for each endpoint.
     proven_age_ms : dict of float
-        Proven age per endpoint; -1 if none is known.
+        Proven age of each endpoint; -1 if unknown.
     """
 
     host: str
@@ -50,7 +52,7 @@
     Parameters
     ----------
     host : EntryHost
-        The host that is served.
+        Host that handles the requests.
     """
 
     async def announce(request: Request):
@@ -60,18 +62,18 @@
             "/v1/endpoints/announce",
             Accepted,
             request.body,
-            min(request.deadline, clock.now() + RELAY_TIMEOUT_S),
+            min(request.deadline, clock.now() + FORWARD_TIMEOUT_S),
         )
 
     async def state(request: Request):
-        after = _number(request, "after", 0)
+        after = _parse_number(request, "after", 0)
         if is_failure(after):
             return after
         return host.watch.state.changes_since(after)
 
     async def ready(request: Request):
         if not host.is_ready:
-            return Failure(ErrorKind.NOT_READY, "starting or draining")
+            return Failure(ErrorKind.NOT_READY, "host is starting or draining")
         return Accepted()
 
     async def status(request: Request):
@@ -91,9 +93,9 @@
     ]
 
 
-def _number(request: Request, name: str, default: int) -> int | Failure:
+def _parse_number(request: Request, name: str, default: int) -> int | Failure:
     text = request.query.get(name, str(default))
     if not (text.isascii() and text.isdigit() and len(text) < 19):
-        reason = f"{name}: not a whole number"
+        reason = f"{name}: not a non-negative integer below 10^18"
         return Failure(ErrorKind.MESSAGE_INVALID, reason)
     return int(text)
--- a/chivescale/entry/_callers.py
+++ b/chivescale/entry/_callers.py
@@ -1,4 +1,4 @@
-"""Callers of an entry host: login, statements, draining."""
+"""Caller connections of an entry host: login, statements and draining."""
 
 import asyncio
 
@@ -22,25 +22,32 @@
 
 
 class Callers:
-    """Connections of callers and what they may do.
+    """Handlers and sessions of caller connections.
 
     Parameters
     ----------
     environment : Environment
-        Shared by all calls.
-    ready : callable
-        Whether the host has a state to serve from.
+        Dependencies shared by all calls.
+    is_synced : callable
+        Returns whether the replicated state has been synchronized.
+
+    Attributes
+    ----------
+    sessions : dict of CallerSession
+        Open sessions in order of login; the values are unused.
+    limits : dict of WorkspaceLimits
+        Limits by workspace name.
     """
 
-    def __init__(self, environment: Environment, ready):
+    def __init__(self, environment: Environment, is_synced):
         self.environment = environment
-        self.ready = ready
+        self.is_synced = is_synced
         self.run_call = build_request_path()
         self.sessions: dict[CallerSession, None] = {}
         self.limits: dict[str, WorkspaceLimits] = {}
 
     def handlers(self) -> CallerHandlers:
-        """Return the functions that the MySQL server calls."""
+        """Return the handlers for the MySQL server."""
         return CallerHandlers(
             secret_hash=self.secret_hash,
             opened=self.opened,
@@ -59,8 +66,8 @@
             self.limits[workspace] = limits
         return limits
 
-    def state_changed(self) -> None:
-        """Apply changed limits and removals of workspaces."""
+    def on_state_change(self) -> None:
+        """Apply changed limits and removed workspaces and bindings."""
         for name, limits in list(self.limits.items()):
             record = self.environment.workspaces(name)
             if record is not None:
@@ -68,25 +75,25 @@
             elif not limits.connections:
                 del self.limits[name]
         for session in list(self.sessions):
-            self._end_removed(session)
+            self._close_if_removed(session)
 
-    def _end_removed(self, session: CallerSession) -> None:
-        """End idle sessions without access.
+    def _close_if_removed(self, session: CallerSession) -> None:
+        """Close an idle session that has lost its access.
 
-        Running statements finish; an open transaction ends at its next
-        statement.
+        A running statement completes; an open transaction is aborted at its
+        next statement.
         """
-        found = resolve_access(self.environment, session)
-        if not is_failure(found) or not session.service:
+        access = resolve_access(self.environment, session)
+        if not is_failure(access) or not session.service:
             return
         if not session.executing and not session.in_transaction:
-            session.kill(found)
+            session.kill(access)
 
     async def admit(self) -> Failure | None:
-        """Refuse connections that could not be served."""
+        """Reject a new connection that could not be served."""
         if self.environment.draining:
             return Failure(ErrorKind.SHUTTING_DOWN, "host is draining")
-        if not self.ready():
+        if not self.is_synced():
             return Failure(ErrorKind.NOT_READY, "host is starting")
         return None
 
@@ -102,19 +109,19 @@
             reason = f"workspace {session.workspace} is not in the sheet"
             return Failure(ErrorKind.AUTHENTICATION_FAILED, reason)
         if session.service:
-            denied = await self.use(session, session.service)
-            if denied is not None:
-                return denied
-        refused = self.limits_of(session.workspace).open_connection()
-        if refused is not None:
-            return refused
+            access_failure = await self.use(session, session.service)
+            if access_failure is not None:
+                return access_failure
+        rejection = self.limits_of(session.workspace).open_connection()
+        if rejection is not None:
+            return rejection
         session.data = CallerState()
         session.data.last_used_at = clock.now()
         self.sessions[session] = None
         return None
 
     async def use(self, session: CallerSession, service: str):
-        """Check the access to a service that becomes the default."""
+        """Check the access to the service that a session selects."""
         if session.in_transaction:
             reason = "the service cannot change inside a transaction"
             return Failure(ErrorKind.UNSUPPORTED, reason)
@@ -127,33 +134,37 @@
             return Failure(ErrorKind.SERVICE_NOT_ALLOWED, reason)
         return None
 
-    async def execute(self, session: CallerSession, sql: str, attrs: dict):
+    async def execute(
+        self, session: CallerSession, sql: str, query_attributes: dict
+    ):
         """Run one statement."""
-        call = Call(self.environment, session, sql, attrs, clock.now())
+        call = Call(
+            self.environment, session, sql, query_attributes, clock.now()
+        )
         try:
             answer = await self.run_call(call)
         finally:
             if call.state.pinned is None:
                 session.in_transaction = False
-        if is_failure(answer) and answer.kind in _ENDS_SESSION:
+        if is_failure(answer) and answer.kind in _SESSION_ENDING_KINDS:
             session.kill(answer)
         return answer
 
     async def closed(self, session: CallerSession) -> None:
-        """Release what a connection held."""
+        """Release the resources of a closed connection."""
         self.sessions.pop(session, None)
         close_transaction(session.data, session)
         self.limits_of(session.workspace).close_connection()
 
     async def sweep(self) -> None:
-        """End transactions that their callers left idle."""
+        """Abort idle transactions periodically until cancelled."""
         while True:
             now = clock.now()
             for session in list(self.sessions):
-                self._end_idle(session, now)
+                self._abort_if_idle(session, now)
             await asyncio.sleep(SWEEP_INTERVAL_S * 10)
 
-    def _end_idle(self, session: CallerSession, now: float) -> None:
+    def _abort_if_idle(self, session: CallerSession, now: float) -> None:
         state = session.data
         limit_s = self.environment.entry.transaction_idle_s
         if state.pinned is None or session.executing:
@@ -167,19 +178,26 @@
             log_event("transaction_idle", workspace=session.workspace)
 
     async def drain(self, timeout_s: float) -> bool:
-        """Let work end, then close; tell whether all ended in time."""
+        """Close each session once its work has ended.
+
+        Returns
+        -------
+        bool
+            Whether all sessions ended before the timeout; the remaining ones
+            are closed.
+        """
         self.environment.draining = True
-        until = clock.now() + timeout_s
-        while self.sessions and clock.now() < until:
+        drain_deadline = clock.now() + timeout_s
+        while self.sessions and clock.now() < drain_deadline:
             for session in list(self.sessions):
                 if not session.executing and not session.in_transaction:
-                    session.kill(_DRAINING)
+                    session.kill(_DRAINING_FAILURE)
             await asyncio.sleep(SWEEP_INTERVAL_S / 2)
-        left = list(self.sessions)
-        for session in left:
-            session.kill(_DRAINING)
-        return not left
+        remaining = list(self.sessions)
+        for session in remaining:
+            session.kill(_DRAINING_FAILURE)
+        return not remaining
 
 
-_DRAINING = Failure(ErrorKind.SHUTTING_DOWN, "host is draining")
-_ENDS_SESSION = frozenset({ErrorKind.WORKSPACE_REMOVED})
+_DRAINING_FAILURE = Failure(ErrorKind.SHUTTING_DOWN, "host is draining")
+_SESSION_ENDING_KINDS = frozenset({ErrorKind.WORKSPACE_REMOVED})
--- a/chivescale/entry/_heartbeat.py
+++ b/chivescale/entry/_heartbeat.py
@@ -1,4 +1,4 @@
-"""Sign of life of an entry host and its connection leases."""
+"""Heartbeats of an entry host and requests to the control leader."""
 
 import asyncio
 import collections.abc
@@ -11,8 +11,8 @@
 CALL_TIMEOUT_S = 0.8
 
 
-class LeaderCalls:
-    """Sends requests to the control leader, wherever it is.
+class ControlLeaderClient:
+    """Client that locates the control leader and sends requests to it.
 
     Parameters
     ----------
@@ -20,6 +20,11 @@
         Transport.
     control : list of str
         API addresses of the control hosts.
+
+    Attributes
+    ----------
+    leader : str
+        Address of the host that last accepted a request.
     """
 
     def __init__(self, client: Client, control: list[str]):
@@ -28,38 +33,39 @@
         self.leader = control[0]
 
     async def call(self, method, path, reply_type, body, deadline: float):
-        """Call the leader, following redirects and trying every host.
+        """Send a request to the leader.
 
-        Only for requests that are safe to repeat.
+        Follows redirects and tries all control hosts. The request may be sent
+        more than once, so it must be idempotent.
         """
         answer = None
-        tries = [self.leader, *self.control]
-        while tries and clock.now() < deadline:
-            address = tries.pop(0)
-            left = deadline - clock.now()
+        addresses = [self.leader, *self.control]
+        while addresses and clock.now() < deadline:
+            address = addresses.pop(0)
+            remaining_s = deadline - clock.now()
             answer = await self.client.call(
                 address,
                 method,
                 path,
                 reply_type,
                 body,
-                timeout_s=min(CALL_TIMEOUT_S, left),
+                timeout_s=min(CALL_TIMEOUT_S, remaining_s),
             )
             if not is_failure(answer):
                 self.leader = address
                 return answer
             if answer.kind is ErrorKind.NOT_LEADER and answer.redirect:
-                # At most one redirect per host, so that two hosts that
-                # name each other cannot cause a loop.
-                if answer.redirect in tries:
-                    tries.remove(answer.redirect)
-                    tries.insert(0, answer.redirect)
-            elif answer.kind not in _TRY_NEXT:
+                # Each host is redirected to at most once, so that two hosts
+                # that redirect to each other cannot cause a loop.
+                if answer.redirect in addresses:
+                    addresses.remove(answer.redirect)
+                    addresses.insert(0, answer.redirect)
+            elif answer.kind not in _TRY_NEXT_HOST_KINDS:
                 return answer
         return answer
 
 
-_TRY_NEXT = {
+_TRY_NEXT_HOST_KINDS = {
     ErrorKind.NOT_LEADER,
     ErrorKind.UNREACHABLE,
     ErrorKind.TIMEOUT,
@@ -70,26 +76,35 @@
 
 
 async def send_heartbeats(
-    calls: LeaderCalls,
+    calls: ControlLeaderClient,
     interval_s: float,
-    build: collections.abc.Callable[[], Heartbeat],
-    receive: collections.abc.Callable[[HeartbeatReply, float], None],
+    make_heartbeat: collections.abc.Callable[[], Heartbeat],
+    on_reply: collections.abc.Callable[[HeartbeatReply, float], None],
 ) -> None:
-    """Send a heartbeat every `interval_s` until cancelled.
+    """Send heartbeats periodically until cancelled.
 
-    `receive` gets the reply and when its heartbeat was sent, in monotonic
-    seconds.
+    Parameters
+    ----------
+    calls : ControlLeaderClient
+        Client of the control leader.
+    interval_s : float
+        Time between two heartbeats.
+    make_heartbeat : callable
+        Returns the next heartbeat.
+    on_reply : callable
+        Called with each reply and the monotonic time in seconds at which its
+        heartbeat was sent.
     """
     while True:
-        started = clock.now()
+        started_at = clock.now()
         reply = await calls.call(
             "POST",
             "/v1/hosts/heartbeat",
             HeartbeatReply,
-            build(),
-            started + 2 * interval_s,
+            make_heartbeat(),
+            started_at + 2 * interval_s,
         )
         if reply is not None and not is_failure(reply):
-            receive(reply, started)
-        elapsed = clock.now() - started
-        await asyncio.sleep(max(0.0, interval_s - elapsed))
+            on_reply(reply, started_at)
+        elapsed_s = clock.now() - started_at
+        await asyncio.sleep(max(0.0, interval_s - elapsed_s))
--- a/chivescale/entry/_host.py
+++ b/chivescale/entry/_host.py
@@ -1,4 +1,4 @@
-"""The entry role."""
+"""Entry host process."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 from chivescale import clock, mysql
 from chivescale.entry._api import EntryStatus, entry_routes
 from chivescale.entry._callers import Callers
-from chivescale.entry._heartbeat import LeaderCalls, send_heartbeats
+from chivescale.entry._heartbeat import ControlLeaderClient, send_heartbeats
 from chivescale.entry._probes import Probes
 from chivescale.entry._services import Services
 from chivescale.entry._watch import StateWatch
@@ -23,14 +23,14 @@
 
 
 class EntryHost:
-    """Serves callers of one host.
+    """Entry host: accepts callers and forwards their statements.
 
     Parameters
     ----------
     settings : Settings
-        Validated settings.
+        Validated settings of the process.
     secret : bytes
-        Secret that signs messages between processes.
+        Shared secret that signs messages between processes.
     metrics : Metrics
         Metrics of the process.
     """
@@ -42,11 +42,11 @@
         tls, count = settings.tls, metrics.count_control
         self.client = Client(secret, client_tls(tls), count)
         control = [member.address for member in settings.cluster.control]
-        self.calls = LeaderCalls(self.client, control)
+        self.calls = ControlLeaderClient(self.client, control)
         self.watch = StateWatch(
             self.client,
             control,
-            self._state_changed,
+            self._on_state_change,
             settings.entry.watch_wait_ms,
         )
         self.endpoint_secret = ""
@@ -61,7 +61,7 @@
         self.environment = Environment(
             workspaces=self._workspace,
             service=self.services.by_name.get,
-            limits=self._limits,
+            limits=self._workspace_limits,
             entry=settings.entry,
             pool=settings.pool,
             metrics=metrics,
@@ -69,7 +69,7 @@
             rng=random.Random(),
             zone=settings.host.zone,
         )
-        self.callers = Callers(self.environment, self._has_state)
+        self.callers = Callers(self.environment, self._is_synced)
         routes = entry_routes(self)
         self.api = Server(secret, routes, server_tls(tls), count)
         self.mysql: mysql.CallerServer | None = None
@@ -78,27 +78,30 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether a load balancer should send callers here."""
-        return self._has_state() and not self.environment.draining
+        """Whether load balancers should route callers to this host."""
+        return self._is_synced() and not self.environment.draining
 
-    def _has_state(self) -> bool:
+    def _is_synced(self) -> bool:
         return self.watch.ready.is_set()
 
     def _workspace(self, name: str):
         return self.watch.state.workspaces.get(name)
 
-    def _limits(self, workspace: str):
+    def _workspace_limits(self, workspace: str):
         return self.callers.limits_of(workspace)
 
     async def start(self) -> Failure | None:
-        """Start serving; callers are admitted once the state is synced."""
-        prepared = self._prepare()
-        if is_failure(prepared):
-            return prepared
+        """Start serving.
+
+        Callers are accepted once the replicated state has been synchronized.
+        """
+        tls_context = self._load_credentials()
+        if is_failure(tls_context):
+            return tls_context
         await self.api.start(self.settings.listen.api)
         self.mysql = mysql.CallerServer(
             self.callers.handlers(),
-            prepared,
+            tls_context,
             mysql.ServerOptions(
                 max_packet_bytes=self.settings.entry.max_statement_bytes,
                 max_connections=self.settings.entry.max_callers,
@@ -108,29 +111,29 @@
         self.tasks = [
             asyncio.ensure_future(work)
             for work in (
-                self._follow_state(),
+                self._watch_state(),
                 self.probes.run(),
                 self.callers.sweep(),
                 self._send_heartbeats(),
             )
         ]
         for task in self.tasks:
-            task.add_done_callback(_report_end)
+            task.add_done_callback(_log_task_failure)
         self._add_gauges()
         return None
 
-    def _prepare(self) -> ssl.SSLContext | Failure | None:
+    def _load_credentials(self) -> ssl.SSLContext | Failure | None:
         cluster = self.settings.cluster
         if cluster.endpoint_secret_file:
-            found = read_secret(cluster.endpoint_secret_file)
-            if is_failure(found):
-                return found
-            self.endpoint_secret = found.decode()
+            secret = read_secret(cluster.endpoint_secret_file)
+            if is_failure(secret):
+                return secret
+            self.endpoint_secret = secret.decode()
         return _caller_tls(self.settings)
 
     def _add_gauges(self) -> None:
         add = self.metrics.add_gauge
-        add("pool_held", "endpoint", self._held)
+        add("pool_held", "endpoint", self._pool_held)
         add("pool_limit", "endpoint", self._pool_limits)
         add("callers", "", lambda: {"": len(self.callers.sessions)})
         add("state_index", "", lambda: {"": self.watch.state.index})
@@ -141,7 +144,7 @@
             for gate in self.services.gates()
         }
 
-    def _held(self) -> dict[str, int]:
+    def _pool_held(self) -> dict[str, int]:
         return {
             gate.record.endpoint: gate.pool.held
             for gate in self.services.gates()
@@ -159,29 +162,29 @@
             return connection
         return await check_incarnation(connection, record, deadline)
 
-    async def _follow_state(self) -> None:
-        await self.watch.first_sync(self.settings.entry.start_grace_s)
+    async def _watch_state(self) -> None:
+        await self.watch.initial_sync(self.settings.entry.start_grace_s)
         await asyncio.gather(self.watch.run(), self.watch.catch_up())
 
-    def _state_changed(self) -> None:
+    def _on_state_change(self) -> None:
         state = self.watch.state
         self.services.update(state)
         self.probes.update(state)
-        self.callers.state_changed()
+        self.callers.on_state_change()
         own = state.hosts.get(self.settings.host.name)
-        ordered = own is not None and own.incarnation == self.incarnation
-        if ordered and own.draining and self.drain_task is None:
+        is_current = own is not None and own.incarnation == self.incarnation
+        if is_current and own.draining and self.drain_task is None:
             self.drain_task = asyncio.ensure_future(self.drain())
 
     async def _send_heartbeats(self) -> None:
         await send_heartbeats(
             self.calls,
             self.settings.entry.heartbeat_ms / 1000,
-            self._heartbeat,
-            self._heard,
+            self._make_heartbeat,
+            self._on_heartbeat_reply,
         )
 
-    def _heartbeat(self) -> Heartbeat:
+    def _make_heartbeat(self) -> Heartbeat:
         self.services.expire_leases()
         listen = self.settings.listen
         record = HostRecord(
@@ -199,15 +202,17 @@
             self.services.wanted(),
         )
 
-    def _heard(self, reply: HeartbeatReply, sent_at: float) -> None:
-        # The leader counts the lease from a later moment than the sending
-        # of the heartbeat, so this host gives it up first.
-        until = sent_at + HOST_LEASE_SHARE * reply.lease_ms / 1000
-        self.services.apply_leases(reply.leases, until)
+    def _on_heartbeat_reply(
+        self, reply: HeartbeatReply, sent_at: float
+    ) -> None:
+        # The leader starts the lease after this host sent the heartbeat, so
+        # the lease expires on this host first.
+        expires_at = sent_at + HOST_LEASE_SHARE * reply.lease_ms / 1000
+        self.services.apply_leases(reply.leases, expires_at)
         self.watch.note_index(reply.index)
 
     def status(self) -> EntryStatus:
-        """Return the state of the host for operators."""
+        """Return the status of the host for operators."""
         state = self.watch.state
         now = clock.now()
         ages = {
@@ -226,7 +231,7 @@
             transactions=sum(
                 session.in_transaction for session in self.callers.sessions
             ),
-            held=self._held(),
+            held=self._pool_held(),
             proven_age_ms={
                 name: -1.0 if age is None else round(age * 1000, 1)
                 for name, age in ages.items()
@@ -234,7 +239,13 @@
         )
 
     async def drain(self) -> bool:
-        """Stop taking work and wait for open work to end."""
+        """Reject new work and wait for open work to end.
+
+        Returns
+        -------
+        bool
+            Whether all work ended before the drain timeout.
+        """
         self.environment.draining = True
         log_event("draining", callers=len(self.callers.sessions))
         if self.mysql is not None:
@@ -243,7 +254,7 @@
         return await self.callers.drain(timeout_s)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Cancel background tasks and close servers and connections."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -256,12 +267,17 @@
 
 
 async def check_incarnation(connection, record, deadline: float):
-    """Return the connection if it leads to the known incarnation.
+    """Return the connection if the endpoint has the expected incarnation.
+
+    The known position of an endpoint applies to one incarnation. An endpoint
+    that lost its data restarts at the same address; until its announcement
+    has been applied on this host, it would serve reads that miss confirmed
+    writes.
 
-    What is known of an endpoint's position holds for one incarnation. An
-    endpoint that lost its data comes back at the same address and would
-    serve reads that miss confirmed writes until its announcement is in
-    force here.
+    Returns
+    -------
+    ClientConnection or Failure
+        ``UNREACHABLE`` if the incarnation differs; the connection is closed.
     """
     answer = await connection.query("SELECT @@server_uuid", deadline)
     found = "no answer"
@@ -271,7 +287,7 @@
     if found == record.incarnation:
         return connection
     connection.close()
-    reason = f"{record.endpoint}: incarnation {found}"
+    reason = f"{record.endpoint}: unexpected incarnation: {found}"
     return Failure(ErrorKind.UNREACHABLE, reason)
 
 
@@ -288,8 +304,8 @@
     return context
 
 
-def _report_end(task: asyncio.Task) -> None:
-    """Log a background task that ended by an error."""
+def _log_task_failure(task: asyncio.Task) -> None:
+    """Log the exception of a failed background task."""
     if task.cancelled() or task.exception() is None:
         return
     log_event("task_failed", "error", error=repr(task.exception()))
--- a/chivescale/entry/_probes.py
+++ b/chivescale/entry/_probes.py
@@ -1,4 +1,4 @@
-"""Probes of an entry host that watches services."""
+"""Probes that an entry host sends to the endpoints of watched services."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Probes:
-    """Drives a `Watcher` for each service that this host watches.
+    """Runs a `Watcher` for each service that this host watches.
 
     Parameters
     ----------
@@ -21,12 +21,12 @@
         Name of this host.
     client : Client
         Transport to the endpoints.
-    calls : LeaderCalls
-        Path to the control leader.
+    calls : ControlLeaderClient
+        Client of the control leader.
     settings : FailoverSettings
-        Intervals and floors.
+        Probe interval, minimum silence and number of watchers.
     on_status : callable
-        Called with each status that an endpoint answered.
+        Called with each status received from an endpoint.
     """
 
     def __init__(self, host, client, calls, settings, on_status):
@@ -37,44 +37,44 @@
         self.on_status = on_status
         self.watchers: dict[str, failover.Watcher] = {}
         self.hosts: list[HostRecord] = []
-        self.chosen: dict[str, bool] = {}
+        self.watch_assignments: dict[str, bool] = {}
         self.tasks: set[asyncio.Task] = set()
 
     def update(self, state: ClusterState) -> None:
-        """Take over a changed state."""
+        """Apply a change of the replicated state."""
         hosts = list(state.hosts.values())
         if hosts != self.hosts:
             self.hosts = hosts
-            self.chosen.clear()
+            self.watch_assignments.clear()
         grouped = state.endpoints_by_service()
         for name, record in state.services.items():
-            if not self._is_chosen(name):
+            if not self._is_watched(name):
                 self.watchers.pop(name, None)
                 continue
             watcher = self.watchers.get(name)
             if watcher is None:
-                watcher = self.watchers[name] = self._make(name)
+                watcher = self.watchers[name] = self._make_watcher(name)
             endpoints = tuple(grouped.get(name, ()))
             event = failover.WatchService(record, endpoints)
             self._step(name, watcher, event)
         for name in set(self.watchers) - set(state.services):
             del self.watchers[name]
-        for name in set(self.chosen) - set(state.services):
-            del self.chosen[name]
+        for name in set(self.watch_assignments) - set(state.services):
+            del self.watch_assignments[name]
 
-    def _is_chosen(self, service: str) -> bool:
-        """Tell whether this host watches a service.
+    def _is_watched(self, service: str) -> bool:
+        """Return whether this host watches a service.
 
-        The answer changes only with the hosts; it is kept because the
-        choice hashes every host, for every service.
+        The result depends only on the set of hosts. It is cached because the
+        assignment hashes every host for every service.
         """
-        chosen = self.chosen.get(service)
-        if chosen is None:
+        is_watching = self.watch_assignments.get(service)
+        if is_watching is None:
             names = watchers_of(service, self.hosts, self.settings.watchers)
-            chosen = self.chosen[service] = self.host in names
-        return chosen
+            is_watching = self.watch_assignments[service] = self.host in names
+        return is_watching
 
-    def _make(self, service: str) -> failover.Watcher:
+    def _make_watcher(self, service: str) -> failover.Watcher:
         return failover.Watcher(
             self.host,
             service,
@@ -84,16 +84,16 @@
 
     async def run(self) -> None:
         """Tick the watchers until cancelled."""
-        # Ticks are finer than probes so that a verdict does not wait for
-        # the next probe.
+        # Ticks are more frequent than probes, so that a verdict is not
+        # delayed until the next probe.
         interval_s = self.settings.probe_interval_ms / 4000
-        late_s = 0.0
+        delay_s = 0.0
         while True:
             for name, watcher in list(self.watchers.items()):
-                self._step(name, watcher, failover.Tick(late_s))
-            due = clock.now() + interval_s
+                self._step(name, watcher, failover.Tick(delay_s))
+            scheduled_at = clock.now() + interval_s
             await asyncio.sleep(interval_s)
-            late_s = max(0.0, clock.now() - due)
+            delay_s = max(0.0, clock.now() - scheduled_at)
 
     def _step(self, service: str, watcher, event) -> None:
         for effect in watcher.step(event, clock.now()):
@@ -119,8 +119,10 @@
         if self.watchers.get(service) is not watcher:
             return
         if is_failure(status):
-            refused = status.kind is ErrorKind.UNREACHABLE
-            event = failover.ProbeError(effect.endpoint, effect.probe, refused)
+            connection_refused = status.kind is ErrorKind.UNREACHABLE
+            event = failover.ProbeError(
+                effect.endpoint, effect.probe, connection_refused
+            )
         else:
             self.on_status(status)
             event = failover.ProbeReply(effect.endpoint, effect.probe, status)
@@ -136,6 +138,6 @@
         )
 
     def close(self) -> None:
-        """Cancel probes and reports under way."""
+        """Cancel pending probes and reports."""
         for task in self.tasks:
             task.cancel()
--- a/chivescale/entry/_services.py
+++ b/chivescale/entry/_services.py
@@ -1,4 +1,4 @@
-"""Services, endpoints and pools of an entry host."""
+"""Services, endpoints and connection pools of an entry host."""
 
 import collections.abc
 
@@ -15,23 +15,26 @@
 
 
 class Services:
-    """Follows the replicated state and owns pools and views.
+    """Services of the replicated state with their pools and views.
 
     Parameters
     ----------
     client : Client
-        Transport to the endpoints' admin interface.
+        Transport to the admin interfaces of the endpoints.
     connect : callable
-        Opens a connection, as `Pool` needs it.
+        Opens a connection; see `Pool`.
     settings : PoolSettings
-        Settings of the pools.
+        Settings of the connection pools.
 
     Attributes
     ----------
     by_name : dict of Service
-        Services in force.
+        Services of the current state, by name.
     leaving : set of (str, str)
-        Endpoints and incarnations that asked for no new work.
+        Endpoint and incarnation of each endpoint that reported that it
+        accepts no new work.
+    leased_until : float
+        Monotonic time at which the connection leases expire.
     """
 
     def __init__(
@@ -45,7 +48,7 @@
         self.leased_until = 0.0
 
     def update(self, state: ClusterState) -> None:
-        """Take over a changed state."""
+        """Apply a change of the replicated state."""
         for name in set(self.by_name) - set(state.services):
             self._remove(self.by_name.pop(name))
         grouped = state.endpoints_by_service()
@@ -57,22 +60,22 @@
             endpoints = {each.endpoint: each for each in grouped.get(name, ())}
             self._update_gates(service, endpoints)
             self._update_view(service, record, endpoints)
-        known = {
+        current = {
             (each.endpoint, each.incarnation)
             for each in state.endpoints.values()
         }
-        self.leaving &= known
+        self.leaving &= current
 
     def _update_view(self, service: Service, record, endpoints) -> None:
         addresses = {
             name: each.admin_address for name, each in endpoints.items()
         }
-        before = service.view.record
+        old_record = service.view.record
         service.view.update(record, addresses)
-        if record.term <= before.term:
+        if record.term <= old_record.term:
             return
         gate = service.primary()
-        if gate is not None and before.term > 0:
+        if gate is not None and old_record.term > 0:
             gate.limit.ramp(clock.now())
         log_event(
             "term_in_force",
@@ -89,14 +92,14 @@
             service.view.freshness.forget(name)
         for name, record in endpoints.items():
             gate = service.gates.get(name)
-            if gate is None or _moved(gate.record, record):
+            if gate is None or _needs_new_pool(gate.record, record):
                 if gate is not None:
                     gate.close()
                 gate = self._make_gate(record)
                 service.gates[name] = gate
             gate.record = record
-            noted = (name, record.incarnation) in self.leaving
-            gate.leaving = record.leaving or noted
+            reported_leaving = (name, record.incarnation) in self.leaving
+            gate.leaving = record.leaving or reported_leaving
 
     def _make_gate(self, record: EndpointRecord) -> EndpointGate:
         pool = Pool(
@@ -114,7 +117,7 @@
             gate.close()
 
     def note_status(self, status: EndpointStatus) -> None:
-        """Stop giving work to an endpoint that says it is leaving."""
+        """Stop sending work to an endpoint that reports it is leaving."""
         key = (status.endpoint, status.incarnation)
         if not status.leaving or key in self.leaving:
             return
@@ -126,7 +129,7 @@
             log_event("endpoint_leaving", endpoint=status.endpoint)
 
     def gates(self) -> list[EndpointGate]:
-        """Return the gates of all endpoints."""
+        """Return the admission control of every endpoint."""
         return [
             gate
             for service in self.by_name.values()
@@ -134,30 +137,40 @@
         ]
 
     def held(self) -> tuple[Lease, ...]:
-        """Return the connections held per endpoint."""
+        """Return the number of connections held for each endpoint."""
         return tuple(
             Lease(gate.record.endpoint, gate.pool.held)
             for gate in self.gates()
         )
 
     def wanted(self) -> tuple[Lease, ...]:
-        """Return the connections wanted per endpoint."""
+        """Return the number of connections wanted for each endpoint."""
         return tuple(
             Lease(gate.record.endpoint, gate.pool.wanted)
             for gate in self.gates()
         )
 
-    def apply_leases(self, leases: tuple[Lease, ...], until: float) -> None:
-        """Set the limits of the pools to leases that end at `until`."""
-        self.leased_until = until
+    def apply_leases(
+        self, leases: tuple[Lease, ...], expires_at: float
+    ) -> None:
+        """Set the pool limits to the granted leases.
+
+        Parameters
+        ----------
+        leases : tuple of Lease
+            Connections granted for each endpoint.
+        expires_at : float
+            Monotonic time in seconds at which the leases expire.
+        """
+        self.leased_until = expires_at
         granted = {lease.endpoint: lease.connections for lease in leases}
         floor = self.settings.floor_connections
         for gate in self.gates():
-            count = granted.get(gate.record.endpoint, floor)
-            gate.pool.set_limit(max(floor, count))
+            limit = granted.get(gate.record.endpoint, floor)
+            gate.pool.set_limit(max(floor, limit))
 
     def expire_leases(self) -> None:
-        """Fall back to the floor when leases were not renewed."""
+        """Reset the pool limits to the minimum if the leases have expired."""
         if clock.now() >= self.leased_until:
             for gate in self.gates():
                 gate.pool.set_limit(self.settings.floor_connections)
@@ -169,7 +182,7 @@
         self.by_name.clear()
 
 
-def _moved(old: EndpointRecord, new: EndpointRecord) -> bool:
+def _needs_new_pool(old: EndpointRecord, new: EndpointRecord) -> bool:
     return (
         old.incarnation != new.incarnation
         or old.mysql_address != new.mysql_address
--- a/chivescale/entry/_watch.py
+++ b/chivescale/entry/_watch.py
@@ -1,4 +1,4 @@
-"""Copy of the replicated state on an entry host."""
+"""Long polls that keep the replicated state of an entry host up to date."""
 
 import asyncio
 import collections.abc
@@ -12,14 +12,15 @@
 
 FIRST_ASK_S = 0.5
 RETRY_PAUSE_S = 0.2
-# Two watches on different control hosts: one that went silent delays a
-# change by its own timeout only if the other fails as well.
+# Number of control hosts that are polled at the same time. With two, a watch
+# that stopped responding delays a change by its timeout only if the other
+# watch fails as well.
 PARALLEL_WATCHES = 2
-WATCH_MARGIN_S = 0.5
+WATCH_TIMEOUT_MARGIN_S = 0.5
 
 
 class StateWatch:
-    """Keeps a `ClusterState` current by long polls.
+    """Keeps a `ClusterState` up to date with long polls.
 
     Parameters
     ----------
@@ -30,14 +31,16 @@
     on_change : callable
         Called without arguments after each merged change.
     wait_ms : int
-        How long a control host may hold a poll.
+        Maximum time for which a control host holds a poll.
 
     Attributes
     ----------
     state : ClusterState
-        The copy; its index never decreases.
+        Local copy of the state; its index never decreases.
     ready : asyncio.Event
-        Set once the copy may be served from.
+        Set once callers may be served from the copy.
+    behind : asyncio.Event
+        Set while the leader is known to have a newer state.
     """
 
     def __init__(
@@ -53,48 +56,51 @@
         self.wait_ms = wait_ms
         self.state = ClusterState()
         self.ready = asyncio.Event()
-        self.lagging = asyncio.Event()
+        self.behind = asyncio.Event()
 
-    async def first_sync(self, grace_s: float) -> None:
-        """Fill the copy at start.
+    async def initial_sync(self, grace_s: float) -> None:
+        """Synchronize the copy at startup.
 
-        Every reachable control host and every entry host named by them is
-        asked, because a restarted host must not serve an older state than
-        it, or a host it can ask, has served. Without an answer backed by a
-        control quorum, the highest state found is used after `grace_s`.
+        All control hosts and all entry hosts known to them are queried,
+        because a restarted host must not serve an older state than it, or any
+        reachable host, has served before. If no reply is authoritative, that
+        is, backed by a quorum of the control hosts, the newest state found is
+        used after `grace_s`.
         """
-        started = clock.now()
+        started_at = clock.now()
         while True:
-            replies = await self._ask_all("/v1/watch", self.control)
+            replies = await self._request_all("/v1/watch", self.control)
             self._merge_all(replies)
             peers = [host.api_address for host in self.state.hosts.values()]
-            self._merge_all(await self._ask_all("/v1/state", peers))
-            quorum = any(reply.authoritative for reply in replies)
-            waited = clock.now() - started
-            if quorum or (self.state.index > 0 and waited >= grace_s):
+            self._merge_all(await self._request_all("/v1/state", peers))
+            has_quorum = any(reply.authoritative for reply in replies)
+            elapsed_s = clock.now() - started_at
+            if has_quorum or (self.state.index > 0 and elapsed_s >= grace_s):
                 break
             await asyncio.sleep(RETRY_PAUSE_S)
-        log_event("state_synced", index=self.state.index, authoritative=quorum)
+        log_event(
+            "state_synced", index=self.state.index, authoritative=has_quorum
+        )
         self.ready.set()
 
     async def run(self) -> None:
-        """Follow changes until cancelled."""
+        """Poll for changes until cancelled."""
         async with asyncio.TaskGroup() as group:
             for offset in range(min(PARALLEL_WATCHES, len(self.control))):
-                group.create_task(self._follow(offset))
+                group.create_task(self._run_watch(offset))
 
     def note_index(self, index: int) -> None:
-        """Renew the watches if the leader is ahead of this copy."""
+        """Request an update if the leader is ahead of this copy."""
         if index > self.state.index:
-            self.lagging.set()
+            self.behind.set()
 
-    async def _follow(self, offset: int) -> None:
-        turn = offset
+    async def _run_watch(self, offset: int) -> None:
+        host_index = offset
         while True:
-            address = self.control[turn % len(self.control)]
+            address = self.control[host_index % len(self.control)]
             reply = await self._poll(address)
             if is_failure(reply):
-                turn += PARALLEL_WATCHES
+                host_index += PARALLEL_WATCHES
                 await asyncio.sleep(RETRY_PAUSE_S)
             else:
                 self._merge(reply)
@@ -106,23 +112,23 @@
             "GET",
             path,
             WatchReply,
-            timeout_s=self.wait_ms / 1000 + WATCH_MARGIN_S,
+            timeout_s=self.wait_ms / 1000 + WATCH_TIMEOUT_MARGIN_S,
         )
 
     async def catch_up(self) -> None:
-        """Ask all control hosts at once when the watches seem silent."""
+        """Query all control hosts when the watches miss a change."""
         while True:
-            await self.lagging.wait()
-            # The watches get a moment to deliver the change themselves.
+            await self.behind.wait()
+            # The watches may still deliver the change themselves.
             await asyncio.sleep(RETRY_PAUSE_S)
-            before = self.state.index
-            replies = await self._ask_all("/v1/watch", self.control)
+            old_index = self.state.index
+            replies = await self._request_all("/v1/watch", self.control)
             self._merge_all(replies)
-            if self.state.index > before:
+            if self.state.index > old_index:
                 log_event("watch_lagged", "warning", index=self.state.index)
-            self.lagging.clear()
+            self.behind.clear()
 
-    async def _ask_all(self, path: str, addresses: list[str]):
+    async def _request_all(self, path: str, addresses: list[str]):
         query = f"{path}?after={self.state.index}&wait_ms=0"
         calls = [
             self.client.call(
@@ -143,7 +149,7 @@
             self._merge(reply)
 
     def _merge(self, reply: WatchReply) -> None:
-        before = self.state.index
+        old_index = self.state.index
         self.state.merge(reply)
-        if self.state.index > before:
+        if self.state.index > old_index:
             self.on_change()
--- a/chivescale/entry/tests/connections.feature
+++ b/chivescale/entry/tests/connections.feature
@@ -1,8 +1,8 @@
 Feature: Connections of an entry host to endpoints
-  Guards against reads from an endpoint that lost its data and came back at
-  the same address before its announcement was in force.
+  Guards against reads from an endpoint that lost its data and restarted at
+  the same address, before its announcement was applied on the host.
 
-  Scenario Outline: A new connection leads to the known incarnation
+  Scenario Outline: A new connection must reach the known incarnation
     When a connection to incarnation "known" gets the answer "<answer>"
     Then the connection is <outcome>
 
--- a/chivescale/entry/tests/fake_network.py
+++ b/chivescale/entry/tests/fake_network.py
@@ -1,4 +1,4 @@
-"""In-memory network at the interfaces of transport and MySQL client."""
+"""In-memory network that replaces the transport and the MySQL client."""
 
 import asyncio
 import random
@@ -15,24 +15,29 @@
 
 
 class Link:
-    """Identity of the open connection between two processes."""
+    """Identifies the open connection between two processes."""
 
 
 class Network:
-    """Delays, cuts, freezes and silences between named processes.
+    """Simulated network between named processes, with faults.
 
     Attributes
     ----------
     cuts : set of frozenset of str
-        Pairs of zones that cannot talk.
+        Pairs of availability zones that cannot communicate.
     isolated : set of str
-        Processes that nobody reaches, and that reach nobody.
+        Processes that cannot communicate with any other process.
     frozen : dict of float
-        Until when a process answers nothing.
+        Monotonic time until which a process is frozen.
     silent : set of (str, str)
-        Origins and addresses whose open connections are dead.
+        Origin and address of open connections that no longer respond.
     loss : float
-        Share of requests or answers that get lost.
+        Probability that a packet is lost.
+    building : str
+        Name of the process that is being constructed.
+    drop_packet : callable or None
+        Called with sender and receiver of each packet; the packet is lost if
+        it returns True.
     """
 
     def __init__(self, rng: random.Random):
@@ -50,52 +55,56 @@
         self.links: dict[tuple[str, str], Link] = {}
         self.tasks: dict[asyncio.Task, str] = {}
         self.errors: list[BaseException] = []
-        # Called for each packet; true loses it.
-        self.on_travel = None
+        self.drop_packet = None
 
-    def reaches(self, one: str, other: str) -> bool:
-        """Tell whether two processes can exchange packets."""
-        if one == other:
+    def can_reach(self, sender: str, receiver: str) -> bool:
+        """Return whether two processes can exchange packets."""
+        if sender == receiver:
             return True
-        if one in self.isolated or other in self.isolated:
+        if sender in self.isolated or receiver in self.isolated:
             return False
-        pair = frozenset((self.zones.get(one), self.zones.get(other)))
+        pair = frozenset((self.zones.get(sender), self.zones.get(receiver)))
         return pair not in self.cuts
 
-    async def travel(self, one: str, other: str) -> bool:
-        """Take one way; False if the packet is lost."""
-        if self.on_travel is not None and self.on_travel(one, other):
+    async def deliver(self, sender: str, receiver: str) -> bool:
+        """Deliver a packet after a delay; return False if it is lost."""
+        if self.drop_packet is not None and self.drop_packet(sender, receiver):
             return False
         delay = self.rng.uniform(MIN_DELAY_S, MAX_DELAY_S)
         await asyncio.sleep(delay)
-        await self.thaw(one)
-        await self.thaw(other)
+        await self.wait_until_unfrozen(sender)
+        await self.wait_until_unfrozen(receiver)
         lost = self.rng.random() < self.loss
-        return self.reaches(one, other) and not lost
+        return self.can_reach(sender, receiver) and not lost
 
-    async def thaw(self, name: str) -> None:
+    async def wait_until_unfrozen(self, name: str) -> None:
         """Wait while a process is frozen."""
-        while (left := self.frozen.get(name, 0.0) - time.monotonic()) > 0:
-            await asyncio.sleep(left)
+        while (
+            remaining_s := self.frozen.get(name, 0.0) - time.monotonic()
+        ) > 0:
+            await asyncio.sleep(remaining_s)
 
     def spawn(self, coroutine, owner: str = "") -> asyncio.Task:
-        """Run a task that outlives its requester but not its owner."""
+        """Start a task that is cancelled when its owner stops.
+
+        The task keeps running if the process that requested it stops.
+        """
         task = asyncio.ensure_future(coroutine)
         self.tasks[task] = owner
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _note_end(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task) -> None:
         del self.tasks[task]
         if not task.cancelled() and task.exception() is not None:
             self.errors.append(task.exception())
 
-    def runs(self, side: object) -> bool:
-        """Tell whether an SQL side belongs to a running endpoint."""
+    def is_running(self, side: object) -> bool:
+        """Return whether an SQL side belongs to a running endpoint."""
         return any(each.side is side for each in self.sql.values())
 
-    def silence(self, origin: str, target: str) -> None:
-        """Let the open connections from `origin` to `target` go silent."""
+    def silence_connections(self, origin: str, target: str) -> None:
+        """Make open connections from `origin` to `target` unresponsive."""
         for address, (name, _) in self.servers.items():
             if name == target:
                 self.silent.add((origin, address))
@@ -104,7 +113,7 @@
                 connection.silent = True
 
     def stop(self, name: str) -> None:
-        """Forget the servers of a process that ended."""
+        """Remove the servers of a stopped process, reset its connections."""
         for address, (owner, _) in list(self.servers.items()):
             if owner == name:
                 del self.servers[address]
@@ -119,7 +128,7 @@
 
 
 def server_class(network: Network):
-    """Return a class that stands for `chivescale.transport.Server`."""
+    """Return a class that replaces `chivescale.transport.Server`."""
 
     class FakeServer:
         def __init__(self, secret, routes, tls=None, count=None):
@@ -138,7 +147,7 @@
 
 
 def client_class(network: Network):
-    """Return a class that stands for `chivescale.transport.Client`."""
+    """Return a class that replaces `chivescale.transport.Client`."""
 
     class FakeClient:
         def __init__(self, secret, tls=None, count=None):
@@ -162,7 +171,7 @@
             fresh=False,
         ):
             server = network.servers.get(address)
-            until = time.monotonic() + timeout_s
+            deadline = time.monotonic() + timeout_s
             if server is None:
                 await asyncio.sleep(MIN_DELAY_S)
                 return Failure(ErrorKind.UNREACHABLE, f"{address}: refused")
@@ -170,11 +179,11 @@
             answer = asyncio.get_running_loop().create_future()
             if not silent:
                 network.spawn(
-                    _serve(
+                    _handle_request(
                         network,
                         self.origin,
                         server,
-                        (method, path, encode(body), until),
+                        (method, path, encode(body), deadline),
                         answer,
                     ),
                     server[0],
@@ -191,11 +200,11 @@
     return FakeClient
 
 
-async def _serve(network, origin, server, line, answer) -> None:
-    """Carry a request to its handler and the answer back."""
+async def _handle_request(network, origin, server, line, answer) -> None:
+    """Deliver a request to its handler and return the answer."""
     name, routes = server
-    method, path, data, until = line
-    if not await network.travel(origin, name):
+    method, path, data, deadline = line
+    if not await network.deliver(origin, name):
         return
     parsed = urllib.parse.urlsplit(path)
     route = routes[method, parsed.path]
@@ -205,14 +214,14 @@
         assert not is_failure(message), (path, message)
     query = dict(urllib.parse.parse_qsl(parsed.query))
     link = network.links.setdefault((origin, name), Link())
-    reply = await route.handler(Request(message, query, until, link))
-    if not await network.travel(name, origin) or answer.done():
+    reply = await route.handler(Request(message, query, deadline, link))
+    if not await network.deliver(name, origin) or answer.done():
         return
     answer.set_result(reply if is_failure(reply) else encode(reply))
 
 
 class FakeConnection:
-    """Stands for `chivescale.mysql.ClientConnection`."""
+    """Replaces `chivescale.mysql.ClientConnection`."""
 
     def __init__(self, network: Network, origin: str, target: str, sql):
         self.network = network
@@ -230,7 +239,10 @@
         network.connections[self] = None
 
     async def query(self, sql: str, deadline: float):
-        """Run one statement; a lost answer makes the connection unusable."""
+        """Run one statement.
+
+        The connection becomes unusable if the answer is lost.
+        """
         if not self.usable:
             return Failure(ErrorKind.UNREACHABLE, "closed")
         assert self.answer is None, "two statements on one connection"
@@ -240,9 +252,9 @@
             self.running = self.network.spawn(
                 self._execute(sql, self.answer), self.target
             )
-        left = max(0.0, deadline - time.monotonic())
+        remaining_s = max(0.0, deadline - time.monotonic())
         try:
-            done, _ = await asyncio.wait({self.answer}, timeout=left)
+            done, _ = await asyncio.wait({self.answer}, timeout=remaining_s)
             if done:
                 return self.answer.result()
             self.close()
@@ -255,19 +267,19 @@
 
     async def _execute(self, sql: str, answer: asyncio.Future) -> None:
         network = self.network
-        if not await network.travel(self.origin, self.target):
+        if not await network.deliver(self.origin, self.target):
             return
-        if not network.runs(self.sql):
+        if not network.is_running(self.sql):
             return
         outcome = await self.sql.execute(self.session, sql, {})
-        if not await network.travel(self.target, self.origin) or self.silent:
+        if not await network.deliver(self.target, self.origin) or self.silent:
             return
         if not answer.done():
             self.in_transaction = self.session.in_transaction
             answer.set_result(outcome)
 
     def reset(self) -> None:
-        """One of the two processes ended."""
+        """Reset the connection after one of the processes stopped."""
         self.usable = False
         if self.answer is not None and not self.answer.done():
             reason = f"{self.target}: connection reset"
@@ -275,32 +287,32 @@
         self.close()
 
     def close(self) -> None:
-        """Close; the endpoint learns of it when it can be reached."""
+        """Close; the endpoint is notified once it can be reached."""
         self.usable = False
         if self in self.network.connections:
             del self.network.connections[self]
-            self.network.spawn(self._tell_endpoint())
+            self.network.spawn(self._close_remote())
 
-    async def _tell_endpoint(self) -> None:
-        while not await self.network.travel(self.origin, self.target):
+    async def _close_remote(self) -> None:
+        while not await self.network.deliver(self.origin, self.target):
             await asyncio.sleep(1.0)
         if self.running is not None and not self.running.done():
             self.running.cancel()
             await asyncio.wait({self.running})
-        if self.network.runs(self.sql):
+        if self.network.is_running(self.sql):
             await self.sql.closed(self.session)
 
 
 async def connect(network: Network, origin: str, record, deadline: float):
-    """Stand for `chivescale.mysql.connect`."""
+    """Replace `chivescale.mysql.connect`."""
     sql = network.sql.get(record.mysql_address)
     if sql is None:
         await asyncio.sleep(MIN_DELAY_S)
         return Failure(ErrorKind.UNREACHABLE, "connection refused")
     target = sql.name
     opening = network.spawn(_open(network, origin, target, sql))
-    left = max(0.0, deadline - time.monotonic())
-    done, _ = await asyncio.wait({opening}, timeout=left)
+    remaining_s = max(0.0, deadline - time.monotonic())
+    done, _ = await asyncio.wait({opening}, timeout=remaining_s)
     if done and opening.result() is not None:
         return opening.result()
     opening.cancel()
@@ -309,7 +321,7 @@
 
 async def _open(network, origin: str, target: str, sql):
     for _ in range(2):
-        if not await network.travel(origin, target):
+        if not await network.deliver(origin, target):
             await asyncio.sleep(60.0)
     connection = FakeConnection(network, origin, target, sql.side)
     await sql.side.opened(connection.session)
--- a/chivescale/entry/tests/random_system.feature
+++ b/chivescale/entry/tests/random_system.feature
@@ -1,12 +1,12 @@
-Feature: The whole system under random faults
+Feature: The complete system under random faults
   Guards against a confirmed write that is lost or runs twice, a request that
-  ran although the caller was told it did not, a session that misses its own
-  writes, a torn transaction, rows of another session, a missed deadline, and
-  a sheet that reverts. The hosts, the control log, failover and the stand-in
-  endpoints are the real ones; network and clock are replaced.
+  ran although its caller was told that it did not, a session that misses its
+  own writes, a partially applied transaction, rows of another session, a
+  missed deadline and a sheet that reverts. The hosts, the control log, the
+  failover and the stand-in endpoints are real; network and clock are simulated.
 
-  Scenario Outline: Callers observe every promise
-    Then <steps> faults of kinds "<faults>" with seed <seed> break no promise
+  Scenario Outline: All guarantees hold for callers
+    Then <steps> faults of kinds "<faults>" with seed <seed> violate no guarantee
 
     Examples:
       | seed | steps | faults                                              |
--- a/chivescale/entry/tests/random_system.py
+++ b/chivescale/entry/tests/random_system.py
@@ -1,8 +1,8 @@
-"""Whole system in one process and virtual time, under random faults.
+"""Simulation of the complete system in one process under random faults.
 
-The hosts, the control log, failover and the stand-in endpoints are the real
-ones; only the network and the clock are replaced. ``run_random(seed, steps)``
-raises AssertionError on the first broken promise.
+The hosts, the control log, the failover and the stand-in endpoints are real;
+only the network and the clock are simulated. ``run_random(seed, steps)``
+raises AssertionError on the first violated guarantee.
 """
 
 import asyncio
@@ -45,11 +45,11 @@
 SERVICE = "ledger"
 WORKSPACES = ("mill", "atelier")
 ZONES = ("z1", "z2", "z3")
-SETTLE_S = 25.0
+RECOVERY_TIME_S = 25.0
 
 
-class _NoServer:
-    """Stands for `CallerServer`; callers use the handlers directly."""
+class _StubCallerServer:
+    """Replaces `CallerServer`; callers use the handlers directly."""
 
     address = ""
     listener = None
@@ -68,7 +68,7 @@
 
 
 class World:
-    """Processes by name, the network between them and the checker."""
+    """Simulated system: processes by name, their network and the checker."""
 
     def __init__(self, seed: int, folder: pathlib.Path):
         self.rng = random.Random(seed)
@@ -83,8 +83,8 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.checker = Checker()
         self.sheet_number = 0
-        self.sheets_seen: dict[str, int] = {}
-        self.next_wipe = 0.0
+        self.last_sheet_numbers: dict[str, int] = {}
+        self.next_wipe_at = 0.0
         self.faults: collections.Counter[str] = collections.Counter()
 
     # processes
@@ -154,7 +154,7 @@
         self.endpoints[name] = endpoint
 
     async def kill(self, name: str) -> None:
-        """End a process without warning."""
+        """Terminate a process abruptly."""
         self.network.stop(name)
         for table, end in (
             (self.control, "stop"),
@@ -166,14 +166,14 @@
                 await getattr(host, end)()
 
     async def restart(self, name: str) -> None:
-        """Start a killed process again with its data folder."""
+        """Restart a killed process with its data folder."""
         kind = {"c": "control", "e": "entry", "d": "endpoint"}[name[0]]
         await getattr(self, f"start_{kind}")(name)
 
     # sheets
 
     async def upload_sheet(self, number: int, rate: float) -> object:
-        """Send a sheet through a random control host, as the tool does."""
+        """Upload a sheet, trying the control hosts in random order."""
         sheet = make_sheet(
             [ServiceRecord(SERVICE, 3)],
             [
@@ -202,15 +202,17 @@
         return answer
 
     def check_sheets(self) -> None:
-        """No host goes back to an older sheet."""
+        """Check that no host reverts to an older sheet."""
         for name, host in self.entry.items():
             sheet = host.watch.state.sheet
             number = sheet.number if sheet else 0
             if not host.watch.ready.is_set():
                 continue
-            before = self.sheets_seen.get(name, 0)
-            assert number >= before, f"{name}: sheet {number} after {before}"
-            self.sheets_seen[name] = number
+            previous = self.last_sheet_numbers.get(name, 0)
+            assert number >= previous, (
+                f"{name}: sheet {number} after {previous}"
+            )
+            self.last_sheet_numbers[name] = number
 
     # run
 
@@ -223,10 +225,10 @@
         while is_failure(await self.upload_sheet(1, 0.0)):
             await asyncio.sleep(0.1)
         self.sheet_number = 1
-        while not self._settled():
+        while not self._terms_agree():
             await asyncio.sleep(0.1)
 
-    def _settled(self) -> bool:
+    def _terms_agree(self) -> bool:
         terms = [
             host.services.by_name[SERVICE].view.record.term
             if SERVICE in host.services.by_name
@@ -236,7 +238,7 @@
         return len(set(terms)) == 1 and terms[0] > 0
 
     async def heal(self) -> None:
-        """End all faults and start what is down."""
+        """Remove all faults and restart stopped processes."""
         network = self.network
         network.cuts.clear()
         network.isolated.clear()
@@ -270,7 +272,7 @@
 
 
 async def _inject(world: World, fault: str) -> None:
-    """Apply one random fault; some end by themselves."""
+    """Inject one random fault; some faults end after a random time."""
     rng, network = world.rng, world.network
     world.faults[fault] += 1
     running = [*world.control, *world.entry, *world.endpoints]
@@ -280,7 +282,7 @@
         await asyncio.sleep(rng.uniform(0.0, 3.0))
         await world.restart(name)
     elif fault == "wipe":
-        await _wipe(world)
+        await _wipe_endpoint(world)
     elif fault == "freeze":
         network.frozen[name] = time.monotonic() + rng.uniform(0.1, 4.0)
     elif fault == "cut":
@@ -297,23 +299,24 @@
         endpoint.faults.lag_s = rng.choice((0.0, 0.01, 0.2, 2.0))
     elif fault == "silence":
         other = rng.choice(running)
-        network.silence(name, other)
+        network.silence_connections(name, other)
     elif fault == "loss":
         network.loss = rng.choice((0.0, 0.01, 0.05))
     else:
-        await _race_sheets(world)
+        await _upload_conflicting_sheets(world)
 
 
-async def _wipe(world: World) -> None:
-    """Let an endpoint lose its disk.
+async def _wipe_endpoint(world: World) -> None:
+    """Delete the data of an endpoint.
 
-    Two lost disks within the time that a readmission takes can lose every
-    copy of a write, which no protocol with three copies prevents.
+    Wipes are spaced out: two lost disks within the time needed to readmit an
+    endpoint can destroy every copy of a write, which no protocol with three
+    copies can prevent.
     """
     now = time.monotonic()
-    if now < world.next_wipe or len(world.endpoints) < 3:
+    if now < world.next_wipe_at or len(world.endpoints) < 3:
         return
-    world.next_wipe = now + 30.0
+    world.next_wipe_at = now + 30.0
     name = world.rng.choice(list(world.endpoints))
     await world.kill(name)
     shutil.rmtree(world.folder / name)
@@ -321,8 +324,8 @@
     await world.restart(name)
 
 
-async def _race_sheets(world: World) -> None:
-    """Two operators send different sheets with one number at once."""
+async def _upload_conflicting_sheets(world: World) -> None:
+    """Upload two different sheets with the same number concurrently."""
     world.sheet_number += 1
     number = world.sheet_number
     rates = [1000.0 + number, 2000.0 + number]
@@ -334,40 +337,40 @@
     sessions = [
         Session(world, number, WORKSPACES[number % 2]) for number in range(6)
     ]
-    work = [asyncio.ensure_future(each.run()) for each in sessions]
-    injected = []
+    session_tasks = [asyncio.ensure_future(each.run()) for each in sessions]
+    injections = []
     for _ in range(steps):
         await asyncio.sleep(world.rng.uniform(0.05, 2.0))
         fault = world.rng.choice(faults)
-        injected.append(asyncio.ensure_future(_inject(world, fault)))
+        injections.append(asyncio.ensure_future(_inject(world, fault)))
         world.check_sheets()
-        _raise_errors(work + injected)
+        _raise_task_errors(session_tasks + injections)
         assert not world.network.errors, world.network.errors
-    await asyncio.gather(*injected)
+    await asyncio.gather(*injections)
     await world.heal()
-    await _settle(world)
+    await _wait_and_check(world)
     for each in sessions:
         each.stopping = True
-    await asyncio.gather(*work)
+    await asyncio.gather(*session_tasks)
     await _final_check(world)
 
 
-def _raise_errors(tasks) -> None:
+def _raise_task_errors(tasks) -> None:
     for task in tasks:
         if task.done() and not task.cancelled():
             task.result()
 
 
-async def _settle(world: World) -> None:
-    until = time.monotonic() + SETTLE_S
+async def _wait_and_check(world: World) -> None:
+    until = time.monotonic() + RECOVERY_TIME_S
     while time.monotonic() < until:
         await asyncio.sleep(0.2)
         world.check_sheets()
 
 
 async def _final_check(world: World) -> None:
-    """Compare the data with what the callers were told."""
-    assert world._settled(), "entry hosts disagree on the term"
+    """Compare the stored data with the outcomes reported to callers."""
+    assert world._terms_agree(), "entry hosts disagree on the term"
     reader = Session(world, 99, WORKSPACES[0])
     rows = await reader.read_all()
     world.checker.check_final(rows)
@@ -379,15 +382,15 @@
 
 
 def run_random(seed: int, steps: int, faults=FAULTS) -> dict:
-    """Run one random history.
+    """Run one random simulation.
 
     Parameters
     ----------
     seed : int
         Seed of faults, delays and workload.
     steps : int
-        Faults to inject.
-    faults : tuple of str
+        Number of faults to inject.
+    faults : tuple of str, optional
         Kinds of faults to choose from.
 
     Returns
@@ -402,7 +405,7 @@
 
 @contextlib.contextmanager
 def running_world(seed: int):
-    """Yield a loop in virtual time and a world on it."""
+    """Yield an event loop in virtual time and a simulated system on it."""
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         loop = stack.enter_context(virtual_time(seed))
@@ -424,6 +427,8 @@
     for module in modules:
         yield mock.patch(f"{module}.Client", client)
         yield mock.patch(f"{module}.Server", server)
-    yield mock.patch("chivescale_standin._endpoint.CallerServer", _NoServer)
-    yield mock.patch("chivescale.mysql.CallerServer", _NoServer)
+    yield mock.patch(
+        "chivescale_standin._endpoint.CallerServer", _StubCallerServer
+    )
+    yield mock.patch("chivescale.mysql.CallerServer", _StubCallerServer)
     yield mock.patch("os.fsync", lambda descriptor: None)
--- a/chivescale/entry/tests/step_faults.feature
+++ b/chivescale/entry/tests/step_faults.feature
@@ -1,10 +1,10 @@
-Feature: A fault at every step of a request
+Feature: A fault at every packet of a request
   Guards against the answer "did not run" for a request that took effect, a
-  confirmed request that is lost, and a request that took effect in part. The
-  fault strikes once at each packet of the request in turn.
+  confirmed request that is lost, and a request that took effect in part. Each
+  run injects the fault at a single packet, for each packet in turn.
 
-  Scenario Outline: The answer is true wherever the fault strikes
-    Then <fault> at every packet of a <operation> gives a true answer
+  Scenario Outline: The answer matches the data at every injection point
+    Then <fault> at every packet of a <operation> gives a correct answer
 
     Examples:
       | operation   | fault   |
--- a/chivescale/entry/tests/steps/connection_steps.py
+++ b/chivescale/entry/tests/steps/connection_steps.py
@@ -18,8 +18,8 @@
 }
 
 
-class Connection:
-    """Answers every statement alike."""
+class FakeConnection:
+    """Connection that gives the same answer to every statement."""
 
     def __init__(self, answer):
         self.answer = answer
@@ -34,7 +34,7 @@
 
 @when('a connection to incarnation "known" gets the answer "{answer}"')
 def connection_answers(context, answer):
-    context.connection = Connection(ANSWERS[answer])
+    context.connection = FakeConnection(ANSWERS[answer])
     context.outcome = asyncio.run(
         check_incarnation(context.connection, RECORD, 1.0)
     )
--- a/chivescale/entry/tests/steps/random_system_steps.py
+++ b/chivescale/entry/tests/steps/random_system_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the whole system under random faults."""
+"""Steps for the complete system under faults."""
 
 import logging
 
@@ -9,28 +9,30 @@
 
 
 @then(
-    '{steps:d} faults of kinds "{faults}" with seed {seed:d} break no promise'
+    '{steps:d} faults of kinds "{faults}" with seed {seed:d} violate no '
+    "guarantee"
 )
-def no_promise_breaks(context, steps, faults, seed):
-    # The injected faults fill the log with expected errors.
+def no_guarantee_violated(context, steps, faults, seed):
+    # The injected faults cause many expected errors in the log.
     logging.disable(logging.CRITICAL)
     try:
         outcome = run_random(seed, steps, tuple(faults.split(",")))
     finally:
         logging.disable(logging.NOTSET)
-    # A run without confirmed work would show nothing.
+    # A run without confirmed requests would not test anything.
     for name in ("write", "keyed", "transaction"):
         assert outcome.get(f"{name}_confirmed", 0) > 0, outcome
     assert outcome.get("read", 0) > 0, outcome
 
 
-@then("{fault} at every packet of a {operation} gives a true answer")
-def answers_are_true(context, fault, operation):
+@then("{fault} at every packet of a {operation} gives a correct answer")
+def answers_match_data(context, fault, operation):
     logging.disable(logging.CRITICAL)
     try:
         outcome = run_step_faults(1, operation, fault)
     finally:
         logging.disable(logging.NOTSET)
-    # A fault that never struck, or never hurt, would show nothing.
+    # A fault that was never injected, or that never made a request fail,
+    # would not test anything.
     assert outcome["cases"] >= 3, outcome
     assert outcome["failed"] >= 1, outcome
--- a/chivescale/entry/tests/virtual_time.py
+++ b/chivescale/entry/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Event loop whose clock jumps to the next timer."""
+"""Event loop with a virtual clock that advances to the next timer."""
 
 import asyncio
 import contextlib
@@ -10,24 +10,27 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Advances the loop's clock instead of waiting."""
+    """Selector that advances the clock of the loop instead of waiting."""
 
     def __init__(self):
         super().__init__()
         self.loop: VirtualLoop | None = None
 
     def select(self, timeout=None):
-        """Return no events after moving the clock by `timeout`."""
+        """Advance the clock by `timeout` and return no events."""
         if timeout is None:
-            raise RuntimeError("nothing is scheduled: the run is stuck")
-        # Like a real clock, this one never stands still; otherwise two
-        # roundings of one due time could alternate for ever.
+            raise RuntimeError("deadlock: no timer is scheduled")
+        # Like a real clock, this one always advances; otherwise the loop
+        # could spin forever on two roundings of the same due time.
         self.loop.now += timeout + 1e-9
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs timers in order without waiting; executors run inline."""
+    """Event loop that runs timers in order without waiting.
+
+    Executor functions run synchronously.
+    """
 
     def __init__(self):
         self.now = 1000.0
@@ -36,11 +39,11 @@
         selector.loop = self
 
     def time(self) -> float:
-        """Return virtual seconds."""
+        """Return the virtual time in seconds."""
         return self.now
 
     def run_in_executor(self, executor, func, *args):
-        """Call `func` at once."""
+        """Call `func` synchronously and return a completed future."""
         future = self.create_future()
         try:
             future.set_result(func(*args))
@@ -51,12 +54,17 @@
 
 @contextlib.contextmanager
 def virtual_time(seed: int):
-    """Run the block with virtual time and seeded randomness.
+    """Run the block in virtual time with seeded random numbers.
+
+    Parameters
+    ----------
+    seed : int
+        Seed of all random numbers and identifiers.
 
     Yields
     ------
     VirtualLoop
-        Loop whose clock the clocks of the process follow.
+        Loop whose clock replaces the monotonic clocks of the process.
     """
     loop = VirtualLoop()
     source = random.Random(seed)
@@ -65,30 +73,30 @@
     def seeded(value=None):
         return real_random(source.random() if value is None else value)
 
-    def token(size=16):
+    def token_hex(size=16):
         return source.randbytes(size).hex()
 
-    def identifier():
+    def uuid4():
         return uuid.UUID(bytes=source.randbytes(16), version=4)
 
-    # The functions of the module `random` share one generator.
+    # The functions of the module `random` share one global generator.
     state = random.getstate()
     random.seed(seed)
     with (
         mock.patch.object(time, "monotonic", loop.time),
         mock.patch.object(time, "clock_gettime", lambda _: loop.time()),
         mock.patch.object(random, "Random", seeded),
-        mock.patch("secrets.token_hex", token),
-        mock.patch("uuid.uuid4", identifier),
+        mock.patch("secrets.token_hex", token_hex),
+        mock.patch("uuid.uuid4", uuid4),
     ):
         try:
             yield loop
         finally:
-            _finish(loop)
+            _cancel_tasks(loop)
             random.setstate(state)
 
 
-def _finish(loop: VirtualLoop) -> None:
+def _cancel_tasks(loop: VirtualLoop) -> None:
     tasks = asyncio.all_tasks(loop)
     for task in tasks:
         task.cancel()
--- a/chivescale/entry/tests/workload.py
+++ b/chivescale/entry/tests/workload.py
@@ -1,4 +1,4 @@
-"""Callers of the random system and what they must observe."""
+"""Caller sessions of the simulated system and checks of their results."""
 
 import asyncio
 import collections
@@ -20,7 +20,7 @@
 
 
 class Checker:
-    """Outcomes that callers were told, compared with the data."""
+    """Compares the outcomes reported to callers with the stored data."""
 
     def __init__(self):
         self.numbers = itertools.count(1)
@@ -34,12 +34,12 @@
         self.answers: list[tuple[tuple[int, ...], object]] = []
 
     def record(self, numbers, owner: int, answer, name: str) -> None:
-        """Note the outcome of a write of `numbers`."""
+        """Record the outcome of a write of `numbers`."""
         self.answers.append((tuple(numbers), answer))
         if not is_failure(answer):
             outcome = "confirmed"
             self.confirmed.update(dict.fromkeys(numbers, owner))
-        elif is_denied(answer):
+        elif is_not_run(answer):
             outcome = answer.kind.value
             self.denied.update(dict.fromkeys(numbers, repr(answer)))
         else:
@@ -47,37 +47,41 @@
             self.in_doubt.update(numbers)
         self.outcomes[f"{name}_{outcome}"] += 1
 
-    def check_rows(self, rows, owner: int, must: set[int]) -> None:
-        """A read of `owner` has all its confirmed writes and no others."""
+    def check_rows(self, rows, owner: int, expected: set[int]) -> None:
+        """Check that a read returns all rows of `owner` and no others."""
         seen = collections.Counter(int(row[0]) for row in rows)
-        missing = must - set(seen)
+        missing = expected - set(seen)
         assert not missing, f"session {owner} misses its writes {missing}"
-        assert all(int(row[1]) == owner for row in rows), "foreign rows"
+        assert all(int(row[1]) == owner for row in rows), (
+            "rows of another session"
+        )
         self._check_counts(seen)
 
     def check_final(self, rows) -> None:
-        """All confirmed writes are there once, no denied one is."""
+        """Check that confirmed writes exist once and denied ones do not."""
         seen = collections.Counter(int(row[0]) for row in rows)
         missing = set(self.confirmed) - set(seen)
         assert not missing, f"confirmed writes lost: {sorted(missing)}"
         self._check_counts(seen)
         for group in self.groups:
             present = {number in seen for number in group}
-            assert len(present) == 1, f"transaction {group} is torn"
+            assert len(present) == 1, f"transaction {group} partially applied"
 
     def _check_counts(self, seen) -> None:
-        doubled = [number for number, count in seen.items() if count > 1]
-        assert not doubled, f"writes ran twice: {doubled}"
-        ran = set(seen) & set(self.denied)
-        assert not ran, {number: self.denied[number] for number in ran}
+        duplicates = [number for number, count in seen.items() if count > 1]
+        assert not duplicates, f"writes ran twice: {duplicates}"
+        executed = set(seen) & set(self.denied)
+        assert not executed, {
+            number: self.denied[number] for number in executed
+        }
 
     def sheet_accepted(self, number: int, rate: float, now: float) -> None:
-        """Only one content is ever accepted under a number."""
-        known = self.sheets.setdefault(number, rate)
-        assert known == rate, f"sheet {number} accepted twice"
+        """Check that only one content is accepted for a sheet number."""
+        accepted_rate = self.sheets.setdefault(number, rate)
+        assert accepted_rate == rate, f"sheet {number} accepted twice"
 
     def check_sheets(self, numbers: dict, hosts: dict) -> None:
-        """Every host has the newest accepted sheet."""
+        """Check that every host has the newest accepted sheet."""
         newest = max(self.sheets)
         for name, number in numbers.items():
             assert number >= newest, f"{name}: {number} < {newest}"
@@ -86,15 +90,15 @@
                 assert record.max_rate == self.sheets[number], name
 
 
-def is_denied(answer: Failure) -> bool:
-    """Tell whether a failure states that the request took no effect."""
-    # The stand-in executes nothing of a statement that it refuses.
+def is_not_run(answer: Failure) -> bool:
+    """Return whether a failure states that the request had no effect."""
+    # The stand-in executes no part of a statement that it rejects.
     refused = answer.kind is ErrorKind.STATEMENT_FAILED
     return refused or answer.kind in NOT_RUN_KINDS
 
 
 class Session:
-    """One logical session: one operation at a time, on changing hosts."""
+    """Logical session that runs operations in sequence on random hosts."""
 
     def __init__(self, world, number: int, workspace: str):
         self.world = world
@@ -102,16 +106,16 @@
         self.workspace = workspace
         self.checker: Checker = world.checker
         self.rng = world.rng
-        self.own: set[int] = set()
+        self.own_rows: set[int] = set()
         self.token = ""
         self.caller: CallerSession | None = None
         self.host = None
         self.stopping = False
-        # Name of the only host to use; empty for any.
-        self.only = ""
+        # Name of the host to use; empty for any host.
+        self.only_host = ""
 
     async def run(self) -> None:
-        """Work until told to stop."""
+        """Run random operations until `stopping` is set."""
         while not self.stopping:
             await self._connect()
             if self.caller is None:
@@ -126,7 +130,7 @@
             await asyncio.sleep(self.rng.uniform(0.0, 0.2))
 
     async def perform(self, name: str) -> tuple[tuple[int, ...], object]:
-        """Run one operation on a given host and return what was told.
+        """Run one operation on the connected host.
 
         Returns
         -------
@@ -139,7 +143,7 @@
         return self.checker.answers[-1]
 
     async def read_all(self):
-        """Return all rows, trying until a host answers."""
+        """Return all rows; retry until a host answers."""
         for _ in range(200):
             await self._connect()
             if self.caller is not None:
@@ -148,11 +152,11 @@
                 if not is_failure(answer):
                     return answer.rows
             await asyncio.sleep(0.1)
-        raise AssertionError(f"no read at the end: {answer}")
+        raise AssertionError(f"final read failed: {answer}")
 
     async def _connect(self) -> None:
         hosts = self.world.entry
-        names = [name for name in hosts if self.only in ("", name)]
+        names = [name for name in hosts if self.only_host in ("", name)]
         self.host = hosts[self.rng.choice(names)] if names else None
         if self.host is None or not self.host.is_ready:
             return
@@ -166,7 +170,7 @@
         await self.host.callers.closed(caller)
 
     async def _execute(self, sql: str):
-        """Run a statement; a killed host gives no answer."""
+        """Run a statement; fail as ``OUTCOME_UNKNOWN`` if the host dies."""
         host, name = self.host, self.host.settings.host.name
         call = asyncio.ensure_future(
             host.callers.execute(self.caller, sql, {})
@@ -178,8 +182,8 @@
                 call.cancel()
                 await asyncio.wait({call})
                 return Failure(ErrorKind.OUTCOME_UNKNOWN, "host died")
-            late = time.monotonic() - started > 7.0
-            assert not late, f"no answer in time: {sql}"
+            timed_out = time.monotonic() - started > 7.0
+            assert not timed_out, f"no answer within 7 s: {sql}"
         return call.result()
 
     async def _write(self) -> bool:
@@ -187,11 +191,11 @@
         answer = await self._execute(self._insert(number))
         if is_failure(answer) and answer.errno == 1146:
             await self._execute(CREATE)
-        self._note((number,), answer, "write")
+        self._record_outcome((number,), answer, "write")
         return not is_failure(answer)
 
     async def _keyed(self) -> bool:
-        """Send a keyed write again, on any host, until it is decided."""
+        """Resend a keyed write on any host until its outcome is known."""
         number = next(self.checker.numbers)
         sql = f"/* chivescale key='k{number}' */ {self._insert(number)}"
         answer = await self._execute(sql)
@@ -205,9 +209,9 @@
             answer = await self._execute(sql)
             self.checker.outcomes["resent"] += 1
             if is_failure(answer) and not answer.may_have_run:
-                # Speaks only for this attempt, not for an earlier one.
+                # This failure does not rule out an earlier attempt.
                 answer = Failure(ErrorKind.OUTCOME_UNKNOWN, answer.reason)
-        self._note((number,), answer, "keyed")
+        self._record_outcome((number,), answer, "keyed")
         return not is_failure(answer)
 
     async def _transaction(self) -> bool:
@@ -225,11 +229,11 @@
         elif answer.kind is ErrorKind.OUTCOME_UNKNOWN:
             # The host died before COMMIT was sent.
             answer = Failure(ErrorKind.TRANSACTION_ABORTED, "host died")
-        self._note(numbers, answer, "transaction")
+        self._record_outcome(numbers, answer, "transaction")
         return not is_failure(answer)
 
     async def _read(self) -> bool:
-        must = set(self.own)
+        expected = set(self.own_rows)
         hint = ""
         if self.token and self.rng.random() < 0.5:
             hint = f"/* chivescale token='{self.token}' staleness_ms=5000 */ "
@@ -239,17 +243,17 @@
             self.checker.outcomes[f"read_{answer.kind.value}"] += 1
             return False
         self.checker.outcomes["read"] += 1
-        self.checker.check_rows(answer.rows, self.number, must)
+        self.checker.check_rows(answer.rows, self.number, expected)
         return True
 
     def _insert(self, number: int) -> str:
         return f"INSERT INTO orders VALUES ({number}, {self.number})"
 
-    def _note(self, numbers, answer, name: str) -> None:
+    def _record_outcome(self, numbers, answer, name: str) -> None:
         self.checker.record(numbers, self.number, answer, name)
         if is_failure(answer):
             return
-        self.own.update(numbers)
+        self.own_rows.update(numbers)
         self.token = self._current_token()
 
     def _current_token(self) -> str:
