--- a/chivescale/telemetry/__init__.py
+++ b/chivescale/telemetry/__init__.py
@@ -22,9 +22,10 @@
 
 
 def __getattr__(name: str) -> object:
-    """Import the metrics only where they are used.
+    """Import `Metrics` on first use.
 
-    Their libraries cost a quarter of a second of processor time at start.
+    The OpenTelemetry and Prometheus libraries take 0.25 s of CPU time to
+    import.
     """
     if name != "Metrics":
         raise AttributeError(name)
--- a/chivescale/telemetry/_bounded.py
+++ b/chivescale/telemetry/_bounded.py
@@ -1,4 +1,4 @@
-"""Log lines whose number is bounded and whose writing never blocks."""
+"""Rate-limited log lines and a non-blocking output stream."""
 
 import os
 
@@ -6,54 +6,54 @@
 from chivescale.telemetry._counters import COUNTERS
 from chivescale.telemetry._log import log_event
 
-# Lines of one event in a second, and how many can be saved up. A burst of
-# refusals says the same many times; metrics count all of them.
-LINES_PER_S = 20.0
-BURST_LINES = 60.0
+# Token bucket of each event: refill rate and capacity. A burst of rejected
+# requests repeats the same line; the metrics count every request.
+MAX_LINES_PER_S = 20.0
+MAX_BURST_LINES = 60.0
 
 
-class _Allowance:
-    __slots__ = ("at", "suppressed", "tokens")
+class _TokenBucket:
+    __slots__ = ("refilled_at", "suppressed", "tokens")
 
-    def __init__(self, at: float):
-        self.at = at
-        self.tokens = BURST_LINES
+    def __init__(self, refilled_at: float):
+        self.refilled_at = refilled_at
+        self.tokens = MAX_BURST_LINES
         self.suppressed = 0
 
 
-_allowances: dict[str, _Allowance] = {}
+_buckets: dict[str, _TokenBucket] = {}
 
 
 def log_decision(event: str, level: str = "info", **fields: object) -> None:
-    """Write a line about a request unless there were too many of its kind.
+    """Write a log line unless the rate limit of its event is exceeded.
 
-    The next line that is written tells how many were left out.
+    The next line of the event carries the number of suppressed lines.
     """
     time = now()
-    allowance = _allowances.get(event)
-    if allowance is None:
-        allowance = _allowances[event] = _Allowance(time)
-    earned = (time - allowance.at) * LINES_PER_S
-    allowance.tokens = min(BURST_LINES, allowance.tokens + earned)
-    allowance.at = time
-    if allowance.tokens < 1.0:
-        allowance.suppressed += 1
+    bucket = _buckets.get(event)
+    if bucket is None:
+        bucket = _buckets[event] = _TokenBucket(time)
+    refill = (time - bucket.refilled_at) * MAX_LINES_PER_S
+    bucket.tokens = min(MAX_BURST_LINES, bucket.tokens + refill)
+    bucket.refilled_at = time
+    if bucket.tokens < 1.0:
+        bucket.suppressed += 1
         COUNTERS.count("log_lines_suppressed", event)
         return
-    allowance.tokens -= 1.0
-    if allowance.suppressed:
-        fields["suppressed"] = allowance.suppressed
-        allowance.suppressed = 0
+    bucket.tokens -= 1.0
+    if bucket.suppressed:
+        fields["suppressed"] = bucket.suppressed
+        bucket.suppressed = 0
     log_event(event, level, **fields)
 
 
 class NonBlockingStream:
-    """Text stream that drops lines instead of waiting for the reader.
+    """Text stream that drops lines when the descriptor would block.
 
     Parameters
     ----------
     descriptor : int
-        Open file, which is set to non-blocking.
+        Open file descriptor; it is switched to non-blocking mode.
     """
 
     def __init__(self, descriptor: int):
@@ -61,7 +61,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Write a line or drop it."""
+        """Write a line, or drop and count it if the write would block."""
         try:
             os.write(self.descriptor, text.encode("utf-8", "replace"))
         except BlockingIOError:
@@ -69,10 +69,10 @@
         return len(text)
 
     def flush(self) -> None:
-        """Nothing is buffered."""
+        """Do nothing; the stream has no buffer."""
 
     def close(self) -> None:
-        """Leave the descriptor open; it is the process's own."""
+        """Do nothing; the descriptor belongs to the process."""
 
     def fileno(self) -> int:
         """Return the descriptor."""
--- a/chivescale/telemetry/_counters.py
+++ b/chivescale/telemetry/_counters.py
@@ -1,15 +1,15 @@
 """Counters and histograms in the text format of Prometheus.
 
-The OpenTelemetry SDK costs a quarter of a second of processor time at start
-and 24 MB, which hosts of a fraction of a core cannot spare; this registry
-keeps the same kinds of instruments.
+The OpenTelemetry SDK takes 0.25 s of CPU time at start and 24 MB of memory,
+too much for hosts with a fraction of a core. This registry provides the same
+kinds of instruments.
 """
 
 import bisect
 import collections
 
-# Upper bounds in seconds, from a local answer to the longest time limit.
-LATENCY_BOUNDS_S = (
+# Upper bounds, from a local response up to the longest time limit.
+LATENCY_BUCKETS_S = (
     0.005,
     0.01,
     0.025,
@@ -21,29 +21,29 @@
     1.6,
     3.2,
 )
-# Bounds the memory that labels from outside can take.
+# Limits the memory used by label values that come from callers.
 MAX_SERIES = 2000
 
 
 class Histogram:
-    """Counts values by upper bound."""
+    """Histogram with fixed bucket bounds."""
 
-    __slots__ = ("buckets", "count", "total")
+    __slots__ = ("buckets", "count", "sum_s")
 
     def __init__(self):
-        self.buckets = [0] * (len(LATENCY_BOUNDS_S) + 1)
+        self.buckets = [0] * (len(LATENCY_BUCKETS_S) + 1)
         self.count = 0
-        self.total = 0.0
+        self.sum_s = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Add a value."""
-        self.buckets[bisect.bisect_left(LATENCY_BOUNDS_S, seconds)] += 1
+        """Record a value."""
+        self.buckets[bisect.bisect_left(LATENCY_BUCKETS_S, seconds)] += 1
         self.count += 1
-        self.total += seconds
+        self.sum_s += seconds
 
 
 class Counters:
-    """Instruments by name and label.
+    """Counters and histograms, each identified by a name and a label.
 
     Attributes
     ----------
@@ -60,13 +60,13 @@
         self.histograms: dict[tuple[str, str], Histogram] = {}
 
     def count(self, name: str, label: str = "") -> None:
-        """Add one to a counter."""
+        """Increment a counter."""
         key = (name, label)
         if key in self.counts or len(self.counts) < MAX_SERIES:
             self.counts[key] += 1
 
     def observe(self, name: str, label: str, seconds: float) -> None:
-        """Add a value to a histogram."""
+        """Record a value in a histogram."""
         key = (name, label)
         histogram = self.histograms.get(key)
         if histogram is None:
@@ -76,16 +76,18 @@
         histogram.observe(seconds)
 
     def render(self) -> bytes:
-        """Return every instrument as text."""
+        """Return all instruments in the text format of Prometheus."""
         lines = []
         for (name, label), value in sorted(self.counts.items()):
-            lines.append(f"chivescale_{name}_total{_labels(label)} {value}")
+            lines.append(
+                f"chivescale_{name}_total{_format_labels(label)} {value}"
+            )
         for (name, label), histogram in sorted(self.histograms.items()):
             lines += _render_histogram(name, label, histogram)
         return ("\n".join(lines) + "\n").encode()
 
 
-def _labels(label: str, bound: str = "") -> str:
+def _format_labels(label: str, bound: str = "") -> str:
     pairs = []
     if label:
         escaped = label.replace("\\", "\\\\").replace('"', '\\"')
@@ -98,13 +100,15 @@
 def _render_histogram(name, label, histogram) -> list[str]:
     base = f"chivescale_{name}_seconds"
     lines = []
-    below = 0
-    bounds = [*(f"{bound:g}" for bound in LATENCY_BOUNDS_S), "+Inf"]
+    cumulative = 0
+    bounds = [*(f"{bound:g}" for bound in LATENCY_BUCKETS_S), "+Inf"]
     for bound, count in zip(bounds, histogram.buckets, strict=True):
-        below += count
-        lines.append(f"{base}_bucket{_labels(label, bound)} {below}")
-    lines.append(f"{base}_sum{_labels(label)} {histogram.total:.6f}")
-    lines.append(f"{base}_count{_labels(label)} {histogram.count}")
+        cumulative += count
+        lines.append(
+            f"{base}_bucket{_format_labels(label, bound)} {cumulative}"
+        )
+    lines.append(f"{base}_sum{_format_labels(label)} {histogram.sum_s:.6f}")
+    lines.append(f"{base}_count{_format_labels(label)} {histogram.count}")
     return lines
 
 
--- a/chivescale/telemetry/_log.py
+++ b/chivescale/telemetry/_log.py
@@ -1,4 +1,4 @@
-"""One line of key=value pairs for each event."""
+"""Log events as lines of key=value pairs."""
 
 from absl import logging
 
@@ -20,7 +20,8 @@
     level : {"debug", "info", "warning", "error"}
         Severity.
     **fields : object
-        Values; those with spaces, quotes or line breaks are quoted.
+        Fields of the event. Empty values and those with spaces, quotes,
+        equals signs or unprintable characters are quoted.
     """
     pairs = [f"event={event}"]
     pairs += [f"{key}={quote_value(value)}" for key, value in fields.items()]
@@ -28,7 +29,7 @@
 
 
 def quote_value(value: object) -> str:
-    """Return a value for a log line, quoted if it needs to be."""
+    """Format a value for a log line, quoting and escaping it if needed."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
@@ -37,9 +38,9 @@
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
     escaped = escaped.replace("\n", "\\n").replace("\r", "\\r")
     if not escaped.isprintable():
-        escaped = "".join(map(_printable, escaped))
+        escaped = "".join(map(_escape_unprintable, escaped))
     return f'"{escaped}"'
 
 
-def _printable(char: str) -> str:
+def _escape_unprintable(char: str) -> str:
     return char if char.isprintable() else ascii(char)[1:-1]
--- a/chivescale/telemetry/_metrics.py
+++ b/chivescale/telemetry/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a process, exported for Prometheus."""
+"""Metrics of a process, exported to Prometheus."""
 
 import collections.abc
 import typing
@@ -9,9 +9,9 @@
 from opentelemetry.exporter.prometheus import PrometheusMetricReader
 from opentelemetry.sdk.metrics import MeterProvider
 
-# Bounds in seconds; the goal of 1 s for a failover and the usual deadline
-# of 5 s are bounds, so that the share below them is exact.
-LATENCY_BOUNDS_S = (
+# The failover objective (1 s) and the default deadline (5 s) are bucket
+# bounds, so that the share of values below them is exact.
+LATENCY_BUCKETS_S = (
     0.001,
     0.002,
     0.005,
@@ -25,12 +25,13 @@
     2.0,
     5.0,
 )
-OTHER = "other"
-# Recording takes about 21 us. Shorter waits are those of statements that
-# found a place or a connection free; leaving them out keeps the cost at one
-# record for most statements.
-WAIT_FLOOR_S = 0.0005
-# The time of creation doubles the lines of small histograms for no use here.
+OVERFLOW_LABEL = "other"
+# Recording a value takes about 21 us. Statements that get a slot and a
+# connection without waiting stay below this limit, so that most statements
+# record one value only.
+MIN_RECORDED_WAIT_S = 0.0005
+# The _created series would double the output of small histograms and are not
+# used.
 prometheus_client.disable_created_metrics()
 COUNTERS = (
     ("reads", "role", "Reads by role of the endpoint."),
@@ -45,23 +46,24 @@
 Values = collections.abc.Callable[[], collections.abc.Mapping[str, float]]
 
 
-class BoundedLabels:
-    """Passes the first `limit` values of a label and folds the others.
+class LabelLimiter:
+    """Limits the number of distinct values of a label.
 
-    Every label value costs memory in this process and in the monitoring
-    system, and workspaces are added without a bound.
+    The first `limit` values are kept and all others become ``other``: each
+    value takes memory in this process and in the monitoring system, and the
+    number of workspaces is unlimited.
     """
 
     def __init__(self, limit: int):
         self.limit = limit
         self.known: set[str] = set()
 
-    def fold(self, value: str) -> str:
-        """Return `value`, or ``other`` beyond the limit."""
+    def limit_value(self, value: str) -> str:
+        """Return `value`, or ``other`` once the limit is reached."""
         if value in self.known:
             return value
         if len(self.known) >= self.limit:
-            return OTHER
+            return OVERFLOW_LABEL
         self.known.add(value)
         return value
 
@@ -69,17 +71,17 @@
 class Metrics:
     """Counters, histograms and gauges of one process.
 
-    Without an address nothing is exported and every method costs little;
+    Without an address nothing is exported and histograms are not recorded;
     `counts` holds the counters in either case.
 
     Parameters
     ----------
     address : str, optional
-        ``ip:port`` that serves ``GET /metrics``; empty turns metrics off.
+        ``ip:port`` that serves ``GET /metrics``; empty disables the export.
     max_workspaces, max_endpoints : int
-        Label values kept apart; further ones count as ``other``. Writing
-        100 workspaces took 47 ms in a trial, during which the event loop
-        does nothing else.
+        Number of distinct label values; further ones count as ``other``.
+        Rendering the metrics of 100 workspaces blocks the event loop for
+        about 47 ms.
     """
 
     def __init__(
@@ -91,11 +93,11 @@
     ):
         self.address = address
         self.runner: web.AppRunner | None = None
-        self.workspaces = BoundedLabels(max_workspaces)
-        self.endpoints = BoundedLabels(max_endpoints)
+        self.workspaces = LabelLimiter(max_workspaces)
+        self.endpoints = LabelLimiter(max_endpoints)
         self.labels: dict[tuple[str, str], dict[str, str]] = {}
         self.registry = prometheus_client.CollectorRegistry()
-        self.provider = _provider(address, self.registry)
+        self.provider = _make_provider(address, self.registry)
         self.meter = self.provider.get_meter("chivescale")
         self._make_instruments()
 
@@ -117,11 +119,11 @@
             f"chivescale_{name}",
             unit="s",
             description=text,
-            explicit_bucket_boundaries_advisory=LATENCY_BOUNDS_S,
+            explicit_bucket_boundaries_advisory=LATENCY_BUCKETS_S,
         )
 
     def _add_counter(self, name: str, label: str, text: str) -> None:
-        """Add a counter that is read from a plain dict when fetched."""
+        """Add a counter whose values are read from a dict at each scrape."""
         counts = self.counts[name] = {}
 
         def observe(_options) -> list[api.Observation]:
@@ -134,7 +136,7 @@
             f"chivescale_{name}", callbacks=[observe], description=text
         )
 
-    def _count(self, name: str, key: str, amount: float = 1) -> None:
+    def _increment(self, name: str, key: str, amount: float = 1) -> None:
         counts = self.counts[name]
         counts[key] = counts.get(key, 0) + amount
 
@@ -146,65 +148,65 @@
         Parameters
         ----------
         workspace : str
-            Who sent it.
+            Workspace that sent the statement.
         statement_class : {"read_replica", "read_primary", "write", \
 "transaction"}
-            How it was served.
+            Kind of statement and role of the endpoint that served it.
         seconds : float
-            From the arrival to the answer.
+            Time from the arrival of the statement to its result.
         """
         if not self.address:
             return
         key = (workspace, statement_class)
         labels = self.labels.get(key)
         if labels is None:
-            folded = self.workspaces.fold(workspace)
-            labels = {"workspace": folded, "class": statement_class}
-            if folded != OTHER:
+            limited = self.workspaces.limit_value(workspace)
+            labels = {"workspace": limited, "class": statement_class}
+            if limited != OVERFLOW_LABEL:
                 self.labels[key] = labels
         self.statement.record(seconds, labels)
 
     def observe_queue(self, seconds: float) -> None:
-        """Record the wait of a statement for a slot of its endpoint."""
-        if self.address and seconds >= WAIT_FLOOR_S:
+        """Record how long a statement waited for a slot of its endpoint."""
+        if self.address and seconds >= MIN_RECORDED_WAIT_S:
             self.queue.record(seconds)
 
     def observe_pool_wait(self, endpoint: str, seconds: float) -> None:
-        """Count a connection taken for new work, and record its wait."""
-        label = self.endpoints.fold(endpoint)
-        self._count("acquired", label)
-        if self.address and seconds >= WAIT_FLOOR_S:
+        """Count an acquired connection and record how long it took."""
+        label = self.endpoints.limit_value(endpoint)
+        self._increment("acquired", label)
+        if self.address and seconds >= MIN_RECORDED_WAIT_S:
             self.pool_wait.record(seconds, {"endpoint": label})
 
     def observe_gap(self, phase: str, seconds: float) -> None:
-        """Record a phase of a failover, or all of it as ``gap``."""
+        """Record a phase of a failover; ``gap`` is the total duration."""
         self.failover.record(seconds, {"phase": phase})
 
     def count_read(self, role: str) -> None:
         """Count a read served by a ``replica`` or the ``primary``."""
-        self._count("reads", role)
+        self._increment("reads", role)
 
     def count_failure(self, kind: str) -> None:
         """Count a failed request by error kind."""
-        self._count("failures", str(kind))
+        self._increment("failures", str(kind))
 
     def count_shed(self, kind: str) -> None:
-        """Count a request refused before it ran, by error kind."""
-        self._count("shed", str(kind))
+        """Count a request rejected before execution, by error kind."""
+        self._increment("shed", str(kind))
 
     def count_retry(self) -> None:
-        """Count a read that is tried again."""
-        self._count("retries", "")
+        """Count a retried read."""
+        self._increment("retries", "")
 
     def count_control(self, direction: str, size: int) -> None:
-        """Count one control message and its bytes, ``in`` or ``out``."""
-        self._count("control_bytes", direction, size)
-        self._count("control_messages", direction)
+        """Count a control message and its size; `direction` is in or out."""
+        self._increment("control_bytes", direction, size)
+        self._increment("control_messages", direction)
 
     def add_gauge(
         self, name: str, label: str, values: Values, text: str = ""
     ) -> None:
-        """Add a gauge that is read when metrics are fetched.
+        """Add a gauge whose values are read at each scrape.
 
         Parameters
         ----------
@@ -214,8 +216,8 @@
         label : str
             Name of the label; empty for a gauge without labels.
         values : callable
-            Returns the value of each label value; for a gauge without
-            labels the only key is ignored.
+            Returns a mapping from label value to gauge value; a gauge
+            without labels has a single key, which is ignored.
         text : str, optional
             Description.
         """
@@ -235,30 +237,30 @@
         return prometheus_client.generate_latest(self.registry)
 
     async def start(self) -> None:
-        """Serve the metrics; does nothing without an address."""
+        """Start the HTTP server, if there is an address."""
         if not self.address:
             return
         app = web.Application()
-        app.router.add_get("/metrics", self._answer)
+        app.router.add_get("/metrics", self._handle_scrape)
         self.runner = web.AppRunner(app, access_log=None)
         await self.runner.setup()
         ip, _, port = self.address.rpartition(":")
         await web.TCPSite(self.runner, ip, int(port)).start()
 
     async def stop(self) -> None:
-        """Stop serving."""
+        """Stop the HTTP server."""
         if self.runner is not None:
             await self.runner.cleanup()
             self.runner = None
 
-    async def _answer(self, _request: web.Request) -> web.Response:
+    async def _handle_scrape(self, _request: web.Request) -> web.Response:
         return web.Response(
             body=self.render(),
             headers={"Content-Type": prometheus_client.CONTENT_TYPE_LATEST},
         )
 
 
-def _provider(
+def _make_provider(
     address: str, registry: prometheus_client.CollectorRegistry
 ) -> typing.Any:
     if not address:
--- a/chivescale/telemetry/_setup.py
+++ b/chivescale/telemetry/_setup.py
@@ -18,20 +18,20 @@
     """Write every log record to standard error as one line.
 
     A line starts with time (UTC), level and process name. Records of the
-    standard logging module, for example those of asyncio, take the same
-    way as ``event=log``.
+    standard logging module, for example those of asyncio, are written as
+    ``event=log``.
 
     Parameters
     ----------
     process : str
-        Name in each line.
+        Process name written in each line.
     level : {"debug", "info", "warning", "error"}
         Lowest level that is written.
     stream : text file, optional
-        Where to write instead.
+        Output stream; standard error by default.
     """
-    # absl prints a warning for each process that logs with unparsed flags;
-    # the daemons have no absl flags.
+    # absl prints a warning if a process logs before its flags are parsed; the
+    # daemons define no absl flags.
     flags.FLAGS.mark_as_parsed()
     absl_logging.set_verbosity(level)
     absl_logging.use_absl_handler()
@@ -51,7 +51,7 @@
         self.process = quote_value(process)
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line without its line break."""
+        """Return the line without a trailing line break."""
         seconds = time.strftime(
             "%Y-%m-%dT%H:%M:%S", time.gmtime(record.created)
         )
--- a/chivescale/telemetry/tests/steps/telemetry_steps.py
+++ b/chivescale/telemetry/tests/steps/telemetry_steps.py
@@ -19,8 +19,8 @@
 )
 
 
-def logged(write):
-    """Return what a function writes to the log."""
+def capture_log(write):
+    """Return the log output of a function."""
     setup_logging("test process", "info")
     handler = absl_logging.get_absl_handler().python_handler
     previous, handler.stream = handler.stream, io.StringIO()
@@ -38,7 +38,7 @@
         value = ""
     elif value.startswith("0."):
         value = float(value)
-    context.line = logged(lambda: log_event("test", value=value))
+    context.line = capture_log(lambda: log_event("test", value=value))
 
 
 @then('the line ends with "{text}"')
@@ -52,7 +52,7 @@
         log_event("test", "warning")
         logging.getLogger("other").error("two\nlines")
 
-    lines = logged(write).splitlines(keepends=True)
+    lines = capture_log(write).splitlines(keepends=True)
     assert len(lines) == 2, lines
     assert all(LINE.fullmatch(line) for line in lines), lines
     assert "level=warning" in lines[0]
@@ -65,7 +65,7 @@
         log_event("test", "debug")
         logging.getLogger("other").debug("text")
 
-    assert logged(write) == ""
+    assert capture_log(write) == ""
 
 
 @then("a traceback stays in one line")
@@ -76,7 +76,7 @@
         except ValueError:
             logging.getLogger("other").exception("failed")
 
-    line = logged(write)
+    line = capture_log(write)
     assert LINE.fullmatch(line), line
     assert "ValueError" in line
 
@@ -88,14 +88,14 @@
     )
     @hypothesis.given(strategies.text(max_size=30))
     def check(text):
-        line = logged(lambda: log_event("test", value=text))
+        line = capture_log(lambda: log_event("test", value=text))
         assert len(line.splitlines()) == 1, line
         assert LINE.fullmatch(line), line
 
     check()
 
 
-@given("metrics that keep {count:d} workspaces apart")
+@given("metrics with a limit of {count:d} workspace labels")
 def bounded_metrics(context, count):
     context.metrics = Metrics("127.0.0.1:0", max_workspaces=count)
 
@@ -105,15 +105,15 @@
     context.metrics = Metrics()
 
 
-@when("{spaces:d} workspaces run {count:d} statements each")
-def run_statements(context, spaces, count):
-    for number in range(spaces * count):
-        name = f"w{number % spaces}"
+@when("{workspaces:d} workspaces run {count:d} statements each")
+def run_statements(context, workspaces, count):
+    for number in range(workspaces * count):
+        name = f"w{number % workspaces}"
         context.metrics.observe_statement(name, "write", 0.003)
 
 
 @then('{kept:d} workspaces have {count:d} statements and "other" has {rest:d}')
-def folded(context, kept, count, rest):
+def check_limited_labels(context, kept, count, rest):
     pattern = (
         r'chivescale_statement_seconds_count\{class="write",'
         r'workspace="(\w+)"\} ([\d.]+)'
@@ -138,7 +138,7 @@
     metrics.add_gauge("index", "", lambda: {"": 7})
 
 
-@then("every method shows up in the exported text")
+@then("the exported text contains the metric of every method")
 def all_exported(context):
     use_every_method(context.metrics)
     lines = context.metrics.render().decode().splitlines()
--- a/chivescale/telemetry/tests/telemetry.feature
+++ b/chivescale/telemetry/tests/telemetry.feature
@@ -1,6 +1,6 @@
 Feature: Logs and metrics
   Guards against log lines that break the one-line format and against
-  metrics whose number of labels grows without a bound.
+  metrics whose number of label values grows without a limit.
 
   Scenario Outline: Values in a log line
     When an event with the value <value> is logged
@@ -25,19 +25,19 @@
   Scenario: Any value gives one line
     Then any logged text gives exactly one line
 
-  Scenario: Workspaces beyond the limit are folded
-    Given metrics that keep 2 workspaces apart
+  Scenario: Workspaces beyond the limit count as "other"
+    Given metrics with a limit of 2 workspace labels
     When 5 workspaces run 3 statements each
     Then 2 workspaces have 3 statements and "other" has 9
 
-  Scenario: Every measure is exported
-    Given metrics that keep 2 workspaces apart
-    Then every method shows up in the exported text
+  Scenario: Every metric is exported
+    Given metrics with a limit of 2 workspace labels
+    Then the exported text contains the metric of every method
 
   Scenario: Without an address nothing is exported and counters still count
     Given metrics without an address
     Then every method works and the counters are kept
 
-  Scenario: The metrics port answers
-    Given metrics that keep 2 workspaces apart
+  Scenario: The metrics port serves the exported text
+    Given metrics with a limit of 2 workspace labels
     Then an HTTP request to the metrics port gives the exported text
