--- a/chivescale/settings/__init__.py
+++ b/chivescale/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a process, read from TOML and validated once at start."""
+"""Settings of a process, read from TOML and validated at start."""
 
 from chivescale.settings._files import read_secret
 from chivescale.settings._load import load_settings, parse_settings
--- a/chivescale/settings/_convert.py
+++ b/chivescale/settings/_convert.py
@@ -1,4 +1,4 @@
-"""Conversion of TOML tables with one error for each wrong key."""
+"""Conversion of TOML tables to settings, with one error per invalid key."""
 
 import typing
 
@@ -8,15 +8,15 @@
 
 
 def convert_settings(tables: dict) -> tuple[Settings | None, list[str]]:
-    """Build settings, or return ``key: reason`` for each wrong key.
+    """Build settings, or return ``key: reason`` for each invalid key.
 
-    msgspec stops at its first error, so every key is converted on its own.
+    msgspec stops at the first error, so each key is converted separately.
     """
     errors: list[str] = []
     sections = {}
     known = {item.name: item for item in msgspec.structs.fields(Settings)}
     for name in tables.keys() - known.keys():
-        errors.append(f"{_shown(name)}: unknown section")
+        errors.append(f"{_format_key(name)}: unknown section")
     for name, field in known.items():
         table = tables.get(name)
         if table is None:
@@ -37,7 +37,7 @@
     values = {}
     known = {item.name: item for item in msgspec.structs.fields(model)}
     for name in table.keys() - known.keys():
-        errors.append(f"{section}.{_shown(name)}: unknown key")
+        errors.append(f"{section}.{_format_key(name)}: unknown key")
     missing = False
     for name, field in known.items():
         key = f"{section}.{name}"
@@ -49,12 +49,12 @@
         try:
             values[name] = msgspec.convert(table[name], field.type)
         except (msgspec.ValidationError, RecursionError) as err:
-            errors.append(_reason(key, str(err)))
+            errors.append(_format_error(key, str(err)))
             missing = missing or field.required
     return None if missing else model(**values)
 
 
-def _reason(key: str, text: str) -> str:
+def _format_error(key: str, text: str) -> str:
     """Turn ``Expected ... - at `$[0].name``` into ``key[0].name: ...``."""
     reason, _, path = text.partition(" - at `$")
     reason = reason.replace("`", "")
@@ -62,5 +62,5 @@
     return f"{key}{path.removesuffix('`')}: {reason}"
 
 
-def _shown(name: str) -> str:
+def _format_key(name: str) -> str:
     return name if name.isidentifier() and name.isascii() else ascii(name)
--- a/chivescale/settings/_files.py
+++ b/chivescale/settings/_files.py
@@ -1,4 +1,4 @@
-"""Files that settings name."""
+"""Access to the files that the settings refer to."""
 
 import collections.abc
 import pathlib
@@ -9,12 +9,12 @@
 from chivescale.errors import ErrorKind, Failure
 from chivescale.settings._model import Settings
 
-# Shorter secrets can be found by trying out signatures.
+# Shorter secrets can be found by a brute-force search over signatures.
 MIN_SECRET_BYTES = 16
 MIN_ENDPOINT_SECRET_BYTES = 8
 MAX_SECRET_BYTES = 4096
 
-# Settings that hold a file name, by section.
+# Settings whose value is a file name, by section.
 FILE_KEYS = {
     "host": ("data_dir",),
     "cluster": ("secret_file", "endpoint_secret_file"),
@@ -29,12 +29,12 @@
 
 
 def read_secret(path: str, minimum: int = MIN_SECRET_BYTES) -> bytes | Failure:
-    """Read a secret file; white space at both ends does not count.
+    """Read a secret file; leading and trailing white space is ignored.
 
     Returns
     -------
     secret or Failure
-        ``SETTINGS_INVALID`` if it cannot be read or has a wrong length.
+        ``SETTINGS_INVALID`` if it is unreadable or has an invalid length.
     """
     try:
         with open(path, "rb") as file:
@@ -53,21 +53,21 @@
 
 
 def resolve_files(settings: Settings, folder: pathlib.Path) -> Settings:
-    """Return settings whose file names are absolute."""
+    """Return the settings with file names resolved against `folder`."""
     changes = {}
     for section, keys in FILE_KEYS.items():
-        part = getattr(settings, section)
+        section_settings = getattr(settings, section)
         names = {
-            key: str(folder / getattr(part, key))
+            key: str(folder / getattr(section_settings, key))
             for key in keys
-            if getattr(part, key)
+            if getattr(section_settings, key)
         }
-        changes[section] = msgspec.structs.replace(part, **names)
+        changes[section] = msgspec.structs.replace(section_settings, **names)
     return msgspec.structs.replace(settings, **changes)
 
 
 def check_files(settings: Settings) -> list[str]:
-    """Return ``key: reason`` for each file that cannot be used."""
+    """Return ``key: reason`` for each unusable file."""
     return [*_check_secrets(settings), *_check_certificates(settings)]
 
 
@@ -85,24 +85,24 @@
 
 
 def _check_certificates(settings: Settings) -> collections.abc.Iterator[str]:
-    """Load every certificate, as the servers will."""
+    """Check that each certificate can be loaded, as the servers load it."""
     tls = settings.tls
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     for port in ("caller", "api"):
         certificate = getattr(tls, f"{port}_certificate")
         if certificate:
             key = getattr(tls, f"{port}_key")
-            reason = _reason(context.load_cert_chain, certificate, key)
+            reason = _load_error(context.load_cert_chain, certificate, key)
             if reason:
                 yield f"tls.{port}_certificate: {certificate}: {reason}"
     if tls.api_ca:
-        reason = _reason(context.load_verify_locations, tls.api_ca)
+        reason = _load_error(context.load_verify_locations, tls.api_ca)
         if reason:
             yield f"tls.api_ca: {tls.api_ca}: {reason}"
 
 
-def _reason(load: collections.abc.Callable, *arguments: str) -> str:
-    """Return why loading fails; empty if it does not."""
+def _load_error(load: collections.abc.Callable, *arguments: str) -> str:
+    """Return the reason why loading fails; empty if it succeeds."""
     try:
         load(*arguments)
     except (OSError, ValueError) as err:
--- a/chivescale/settings/_model.py
+++ b/chivescale/settings/_model.py
@@ -15,7 +15,7 @@
     roles : tuple of str
         ``entry``, ``control`` or both.
     data_dir : str
-        Folder of the durable state; required for ``control``.
+        Folder of the persistent state; required for ``control``.
     log_level : str
         ``debug``, ``info``, ``warning`` or ``error``.
     """
@@ -28,7 +28,7 @@
 
 
 class ListenSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Addresses as ``ip:port``; an empty one is not served.
+    """Listening addresses as ``ip:port``; an empty one is disabled.
 
     With both roles, `control_api` serves the control role and `api` the
     entry role.
@@ -41,14 +41,14 @@
 
 
 class ControlMember(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A control host as every process knows it."""
+    """Name and address of a control host."""
 
     name: str
     address: str
 
 
 class ClusterSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What all processes share.
+    """Settings shared by all processes.
 
     Attributes
     ----------
@@ -57,7 +57,7 @@
     control : tuple of ControlMember
         Initial control hosts.
     endpoint_user, endpoint_secret_file : str
-        Account with which entry hosts log in to endpoints.
+        Credentials of entry hosts at the endpoints.
     """
 
     secret_file: str
@@ -67,7 +67,7 @@
 
 
 class TlsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Certificates; an empty name turns TLS off for that port."""
+    """Certificate files; an empty name disables TLS on that port."""
 
     caller_certificate: str = ""
     caller_key: str = ""
@@ -79,7 +79,7 @@
 class AgreementSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True
 ):
-    """Timing of the control log."""
+    """Timing and snapshot interval of the control log."""
 
     heartbeat_ms: int = 50
     election_timeout_ms: int = 250
@@ -91,8 +91,8 @@
 ):
     """Failure detection and promotion.
 
-    `silence_floor_ms` stays above 300 ms because pauses up to that length
-    are normal and must not cause a promotion.
+    `silence_floor_ms` must exceed 300 ms: pauses up to that length are normal
+    and must not cause a promotion.
     """
 
     watchers: int = 3
@@ -103,10 +103,10 @@
 
 
 class EntrySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Behaviour of an entry host towards callers.
+    """Limits and time-outs of an entry host.
 
-    `watch_wait_ms` is short because a watch whose connection went silent is
-    noticed only when it ends, and changes must be in force within 4 s.
+    `watch_wait_ms` is short because a broken connection is detected only when
+    the watch on it times out, and changes must be in force within 4 s.
     """
 
     deadline_ms: int = 5000
@@ -122,7 +122,7 @@
 
 
 class PoolSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Connections to endpoints."""
+    """Connection pools of the endpoints."""
 
     floor_connections: int = 1
     idle_s: float = 30.0
--- a/chivescale/settings/_rules.py
+++ b/chivescale/settings/_rules.py
@@ -1,4 +1,4 @@
-"""Ranges and rules that a type cannot state."""
+"""Ranges and constraints that the types do not express."""
 
 import collections.abc
 import ipaddress
@@ -13,25 +13,25 @@
 LOG_LEVELS = ("debug", "info", "warning", "error")
 MAX_CONTROL_HOSTS = 35
 # Pauses up to this length are normal and must not cause a promotion.
-NORMAL_PAUSE_MS = 300
-# With fewer heartbeats in an election timeout, one lost message or a short
-# pause of the leader starts an election.
-HEARTBEATS_IN_TIMEOUT = 3
+MAX_NORMAL_PAUSE_MS = 300
+# With fewer heartbeats per election timeout, a single lost message or a short
+# pause of the leader triggers an election.
+MIN_HEARTBEATS_PER_TIMEOUT = 3
 
-# Smallest and largest value of every number, in the unit of its name.
+# Minimum and maximum of each numeric setting, in the unit of its name.
 RANGES: dict[str, tuple[float, float]] = {
     "agreement.heartbeat_ms": (5, 5_000),
     "agreement.election_timeout_ms": (15, 60_000),
     "agreement.snapshot_entries": (10, 1_000_000),
     "failover.watchers": (1, 9),
     "failover.probe_interval_ms": (10, 10_000),
-    "failover.silence_floor_ms": (NORMAL_PAUSE_MS + 1, 60_000),
+    "failover.silence_floor_ms": (MAX_NORMAL_PAUSE_MS + 1, 60_000),
     "failover.promise_timeout_ms": (10, 60_000),
     "failover.attempt_timeout_ms": (10, 60_000),
     "entry.deadline_ms": (10, 600_000),
-    # A lease lasts 3 s; two lost heartbeats must not end it.
+    # A lease lasts 3 s and must survive two lost heartbeats.
     "entry.heartbeat_ms": (10, 1_000),
-    # A sheet must be in force within 4 s, also after one silent watch.
+    # A sheet must be in force within 4 s, even if one watch gets no answer.
     "entry.watch_wait_ms": (10, 3_000),
     "entry.barrier_timeout_ms": (10, 60_000),
     "entry.drain_timeout_s": (0, 3_600),
@@ -48,15 +48,15 @@
 
 
 def check_rules(settings: Settings) -> list[str]:
-    """Return ``key: reason`` for each broken rule."""
+    """Return ``key: reason`` for each violated constraint."""
     errors: list[str] = []
     for check in (
         _check_host,
         _check_ranges,
-        _check_relations,
+        _check_dependencies,
         _check_members,
         _check_listen,
-        _check_clashes,
+        _check_address_conflicts,
         _check_tls,
     ):
         errors += check(settings)
@@ -64,7 +64,7 @@
 
 
 def control_address(settings: Settings) -> str:
-    """Return the address of the control role; empty without that role."""
+    """Return the listening address of the control role, empty without it."""
     if "control" not in settings.host.roles:
         return ""
     if settings.listen.control_api or "entry" in settings.host.roles:
@@ -73,7 +73,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
-    """Split ``ip:port``; None if it is anything else."""
+    """Split ``ip:port``; return None if it is malformed."""
     ip, _, port = text.rpartition(":")
     try:
         ipaddress.IPv4Address(ip)
@@ -96,7 +96,7 @@
         yield "host.roles: expected entry, control or both"
     for index, role in enumerate(host.roles):
         if role not in ROLES:
-            yield f"host.roles[{index}]: {role!a} is no role"
+            yield f"host.roles[{index}]: {role!a} is not a role"
         elif role in host.roles[:index]:
             yield f"host.roles[{index}]: {role} appears twice"
     if host.log_level not in LOG_LEVELS:
@@ -109,18 +109,18 @@
     for key, (low, high) in RANGES.items():
         section, _, name = key.partition(".")
         value = getattr(getattr(settings, section), name)
-        # Written so that not-a-number is out of range.
+        # This form of the comparison also rejects NaN.
         if not low <= value <= high:
             yield f"{key}: {value:g} is not in {low:g} to {high:g}"
 
 
-def _check_relations(settings: Settings) -> collections.abc.Iterator[str]:
+def _check_dependencies(settings: Settings) -> collections.abc.Iterator[str]:
     agreement, failover = settings.agreement, settings.failover
-    least = HEARTBEATS_IN_TIMEOUT * agreement.heartbeat_ms
-    if agreement.election_timeout_ms < least:
+    minimum_ms = MIN_HEARTBEATS_PER_TIMEOUT * agreement.heartbeat_ms
+    if agreement.election_timeout_ms < minimum_ms:
         yield (
-            f"agreement.election_timeout_ms: expected at least {least} "
-            f"({HEARTBEATS_IN_TIMEOUT} times heartbeat_ms)"
+            f"agreement.election_timeout_ms: expected at least {minimum_ms} "
+            f"({MIN_HEARTBEATS_PER_TIMEOUT} times heartbeat_ms)"
         )
     if failover.attempt_timeout_ms < failover.promise_timeout_ms:
         yield (
@@ -141,7 +141,7 @@
     for index, member in enumerate(control):
         key = f"cluster.control[{index}]"
         if not NAME_PATTERN.fullmatch(member.name):
-            yield f"{key}.name: {member.name!a} is no name"
+            yield f"{key}.name: {member.name!a} is not a valid name"
         if member.name in names:
             yield f"{key}.name: {member.name} appears twice"
         if member.address in addresses:
@@ -149,11 +149,11 @@
         yield from _check_address(f"{key}.address", member.address)
         names.add(member.name)
         addresses.add(member.address)
-    yield from _check_own_member(settings)
+    yield from _check_own_address(settings)
 
 
-def _check_own_member(settings: Settings) -> collections.abc.Iterator[str]:
-    """Check that the others look for this control host where it listens."""
+def _check_own_address(settings: Settings) -> collections.abc.Iterator[str]:
+    """Check that the control host listens on the address listed for it."""
     name, own = settings.host.name, control_address(settings)
     if not own or not NAME_PATTERN.fullmatch(name):
         return
@@ -161,7 +161,7 @@
         item.address for item in settings.cluster.control if item.name == name
     ]
     if not listed:
-        yield f"cluster.control: {name} has the control role, is not listed"
+        yield f"cluster.control: {name} has the control role but is not listed"
     elif own not in listed:
         yield (
             f"cluster.control: {name} is listed with {listed[0]} and "
@@ -188,15 +188,17 @@
     parsed = parse_address(address)
     if parsed is None:
         yield (
-            f"{key}: {address!a} is no ip:port (an IPv4 address, no host "
-            "name, and a port in 1 to 65535)"
+            f"{key}: {address!a} is not an ip:port (an IPv4 address, "
+            "not a host name, and a port in 1 to 65535)"
         )
     elif parsed[0] == "0.0.0.0" and not wildcard:
         yield f"{key}: other hosts cannot connect to {parsed[0]}"
 
 
-def _check_clashes(settings: Settings) -> collections.abc.Iterator[str]:
-    """Check that no two ports of the file are the same."""
+def _check_address_conflicts(
+    settings: Settings,
+) -> collections.abc.Iterator[str]:
+    """Check that no two addresses of the file conflict."""
     used: dict[tuple[str, int], str] = {}
     own = settings.listen.control_api or control_address(settings)
     for member in settings.cluster.control:
@@ -208,12 +210,12 @@
         if address is None:
             continue
         for other, owner in used.items():
-            if _same_port(address, other):
+            if _conflict(address, other):
                 yield f"listen.{key}: {text} is already used by {owner}"
         used[address] = f"listen.{key}"
 
 
-def _same_port(left: tuple[str, int], right: tuple[str, int]) -> bool:
+def _conflict(left: tuple[str, int], right: tuple[str, int]) -> bool:
     if left[1] != right[1]:
         return False
     return left[0] == right[0] or "0.0.0.0" in (left[0], right[0])
--- a/chivescale/settings/tests/settings.feature
+++ b/chivescale/settings/tests/settings.feature
@@ -1,12 +1,12 @@
 Feature: Settings
-  Guards against a process that starts with settings it cannot work with,
-  or that refuses them without naming file, key and reason.
+  Guards against a process that starts with invalid settings, or that rejects
+  them without naming the file, the key and the reason.
 
   Scenario: Valid settings of both roles
     Given the example settings
     Then they are accepted
 
-  Scenario Outline: A wrong key is refused with its name
+  Scenario Outline: An invalid key is rejected by name
     Given the example settings
     When the line "<old>" becomes "<new>"
     Then the only error is "settings: <error>"
@@ -20,7 +20,7 @@
       | [pool]             | [entry.pool]           | entry.pool: unknown key             |
       | zone = 'a'         | zone = 5               | host.zone: expected str, got int    |
       | name = 'c1'        | name = 'c 1'           | host.name: expected 1 to 64         |
-      | 'entry', 'control' | 'entry', 'admin'       | host.roles[1]: 'admin' is no role   |
+      | 'entry', 'control' | 'entry', 'admin'       | host.roles[1]: 'admin' is not a role   |
       | 'entry', 'control' | 'control', 'control'   | host.roles[1]: control appears twice |
       | 'entry', 'control' |                        | host.roles: expected entry, control |
       | data_dir = 'data'  |                        | host.data_dir: the control role     |
@@ -44,11 +44,11 @@
 
     Examples: addresses
       | old                | new                    | error                               |
-      | api = '127.0.0.1:7001' | api = 'localhost:7001' | listen.api: 'localhost:7001' is no ip:port |
-      | api = '127.0.0.1:7001' | api = '127.0.0.1'  | listen.api: '127.0.0.1' is no ip:port |
-      | api = '127.0.0.1:7001' | api = '127.0.0.1:0' | listen.api: '127.0.0.1:0' is no ip:port |
-      | api = '127.0.0.1:7001' | api = '127.0.0.1:65536' | listen.api: '127.0.0.1:65536' is no ip:port |
-      | api = '127.0.0.1:7001' | api = '127.0.0.01:7001' | listen.api: '127.0.0.01:7001' is no ip:port |
+      | api = '127.0.0.1:7001' | api = 'localhost:7001' | listen.api: 'localhost:7001' is not an ip:port |
+      | api = '127.0.0.1:7001' | api = '127.0.0.1'  | listen.api: '127.0.0.1' is not an ip:port |
+      | api = '127.0.0.1:7001' | api = '127.0.0.1:0' | listen.api: '127.0.0.1:0' is not an ip:port |
+      | api = '127.0.0.1:7001' | api = '127.0.0.1:65536' | listen.api: '127.0.0.1:65536' is not an ip:port |
+      | api = '127.0.0.1:7001' | api = '127.0.0.01:7001' | listen.api: '127.0.0.01:7001' is not an ip:port |
       | api = '127.0.0.1:7001' | api = '0.0.0.0:7001' | listen.api: other hosts cannot connect |
       | api = '127.0.0.1:7001' |                    | listen.api: the entry role needs an address |
       | control_api = '127.0.0.1:7003' |            | listen.control_api: the control role needs an address |
@@ -58,15 +58,15 @@
 
     Examples: members and certificates
       | old                | new                    | error                               |
-      | name = 'c1'        | name = 'c9'            | cluster.control: c9 has the control role, is not listed |
+      | name = 'c1'        | name = 'c9'            | cluster.control: c9 has the control role but is not listed |
       | control_api = '127.0.0.1:7003' | control_api = '127.0.0.1:7005' | cluster.control: c1 is listed with 127.0.0.1:7003 and listens on 127.0.0.1:7005 |
       | name='c2'          | name='c1'              | cluster.control[1].name: c1 appears twice |
       | address='127.0.0.2:7003' | address='127.0.0.1:7003' | cluster.control[1].address: 127.0.0.1:7003 appears twice |
-      | address='127.0.0.2:7003' | address='c2:7003' | cluster.control[1].address: 'c2:7003' is no ip:port |
+      | address='127.0.0.2:7003' | address='c2:7003' | cluster.control[1].address: 'c2:7003' is not an ip:port |
       | address='127.0.0.2:7003' | address=7003     | cluster.control[1].address: expected str, got int |
       | api_key = ''       | api_key = 'k'          | tls.api_certificate: certificate and key go together |
 
-  Scenario: Every wrong key has its own line
+  Scenario: Each invalid key is reported on its own line
     Given the example settings
     When the line "heartbeat_ms = 50" becomes "heartbeat_ms = 'x'\nfoo = 1"
     And the line "zone = 'a'" becomes "zone = 1"
@@ -78,7 +78,7 @@
   Scenario: The operations page states every setting
     Then the page has a row with default and range for each setting
 
-  Scenario Outline: Files that settings name
+  Scenario Outline: Unusable files are reported
     Given the example settings in a file
     When its file <file> <content>
     Then loading gives the error "<error>"
@@ -96,9 +96,9 @@
       | settings | is missing          | No such file                                 |
       | settings | is not UTF-8        | codec can't decode                           |
 
-  Scenario: Relative file names belong to the folder of the settings
+  Scenario: Relative file names are resolved against the settings folder
     Given the example settings in a file
     Then loading gives absolute names below that folder
 
-  Scenario: Hostile text gives settings or a failure
+  Scenario: Arbitrary text gives settings or a failure
     Then any text gives settings or a failure of kind settings_invalid
