--- a/chivescale/sheet/__init__.py
+++ b/chivescale/sheet/__init__.py
@@ -1,4 +1,4 @@
-"""The sheet: the complete desired state as a CSV file."""
+"""The sheet: a CSV file with the complete desired state."""
 
 from chivescale.sheet._diff import Change, diff
 from chivescale.sheet._format import format_sheet
--- a/chivescale/sheet/_diff.py
+++ b/chivescale/sheet/_diff.py
@@ -7,7 +7,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One difference.
+    """Difference in one row.
 
     Attributes
     ----------
@@ -18,7 +18,7 @@
     name : str
         Name of the row; ``workspace/service`` for a binding.
     fields : tuple of (str, str, str)
-        Changed field, old and new value; hashes are not shown.
+        Name, old and new value of each changed field; hashes are omitted.
     """
 
     action: str
@@ -29,13 +29,13 @@
 
 def diff(old: Sheet, new: Sheet) -> list[Change]:
     """Return the changes from `old` to `new`, sorted by kind and name."""
-    changes = _compare("service", _services(old), _services(new))
-    changes += _compare("workspace", _workspaces(old), _workspaces(new))
-    changes += _compare("binding", _bindings(old), _bindings(new))
+    changes = _compare_rows("service", _services(old), _services(new))
+    changes += _compare_rows("workspace", _workspaces(old), _workspaces(new))
+    changes += _compare_rows("binding", _bindings(old), _bindings(new))
     return changes
 
 
-def _compare(kind: str, old: dict, new: dict) -> list[Change]:
+def _compare_rows(kind: str, old: dict, new: dict) -> list[Change]:
     changes = []
     for name in sorted(old.keys() | new.keys()):
         if name not in old:
@@ -65,7 +65,7 @@
 
 
 def _workspaces(sheet: Sheet) -> dict[str, WorkspaceRecord]:
-    # Bindings are compared as rows of their own.
+    # Bindings are compared separately.
     return {
         item.name: msgspec.structs.replace(item, bindings=())
         for item in sheet.workspaces
--- a/chivescale/sheet/_format.py
+++ b/chivescale/sheet/_format.py
@@ -1,4 +1,4 @@
-"""Sheet to CSV text."""
+"""Formatting of a sheet as CSV text."""
 
 import csv
 import io
@@ -7,7 +7,7 @@
 
 
 def format_sheet(sheet: Sheet) -> str:
-    """Return the sheet as CSV; parsing it gives an equal sheet."""
+    """Format a sheet as CSV; parsing the result gives an equal sheet."""
     target = io.StringIO(newline="")
     writer = csv.DictWriter(target, COLUMNS, restval="", lineterminator="\n")
     writer.writeheader()
@@ -27,7 +27,7 @@
                 "secret_hash": workspace.secret_hash,
                 "max_connections": workspace.max_connections,
                 "max_concurrent": workspace.max_concurrent,
-                "max_rate": _decimal(workspace.max_rate),
+                "max_rate": _format_decimal(workspace.max_rate),
             }
         )
         for binding in workspace.bindings:
@@ -43,5 +43,5 @@
     return target.getvalue()
 
 
-def _decimal(value: float) -> str:
+def _format_decimal(value: float) -> str:
     return f"{value:.6f}".rstrip("0").rstrip(".")
--- a/chivescale/sheet/_model.py
+++ b/chivescale/sheet/_model.py
@@ -1,4 +1,4 @@
-"""Typed content of a sheet."""
+"""Data model of a sheet."""
 
 import collections.abc
 import hashlib
@@ -22,7 +22,7 @@
 
 
 class Sheet(msgspec.Struct, frozen=True):
-    """Normalised content; build it with `make_sheet` or `parse_sheet`.
+    """Normalised content, built by `make_sheet` or `parse_sheet`.
 
     Attributes
     ----------
@@ -37,16 +37,16 @@
 
 
 class Defect(msgspec.Struct, frozen=True):
-    """One reason to refuse a sheet.
+    """Reason why a sheet is invalid.
 
     Attributes
     ----------
     row : int
-        Line of the file, counted from 1; the header is usually line 1.
+        Line number in the file, from 1; the header is usually line 1.
     column : str
-        Column name; empty if the whole row is meant.
+        Column name; empty if the defect concerns the whole row.
     reason : str
-        What is wrong, in one line.
+        Description on one line.
     """
 
     row: int
@@ -62,10 +62,10 @@
     services: collections.abc.Iterable[ServiceRecord],
     workspaces: collections.abc.Iterable[WorkspaceRecord],
 ) -> Sheet:
-    """Build a sheet from records, for example those of the state in force.
+    """Build a sheet from records, for example those of the current state.
 
-    Terms and voters of the services are left out because the sheet does
-    not define them.
+    Terms and voters of the services are omitted because the sheet does not
+    define them.
     """
     return Sheet(
         services=tuple(
@@ -82,8 +82,8 @@
 def digest(sheet: Sheet) -> str:
     """Return the hex SHA-256 of the normalised content.
 
-    Row order, column order, quoting and number formats have no influence,
-    so a sheet that was exported again has the same digest.
+    Row order, column order, quoting and number formats do not affect it, so
+    an exported sheet has the same digest as the original.
     """
     content = (
         [(item.service, item.group_size) for item in sheet.services],
--- a/chivescale/sheet/_parse.py
+++ b/chivescale/sheet/_parse.py
@@ -1,4 +1,4 @@
-"""CSV text to a sheet, or to the list of its defects."""
+"""Parsing of CSV text to a sheet or a list of defects."""
 
 import csv
 import io
@@ -10,7 +10,7 @@
     ServiceRecord,
     WorkspaceRecord,
 )
-from chivescale.sheet._cells import ROW_CELLS, BadCell, shown
+from chivescale.sheet._cells import COLUMN_PARSERS, InvalidCell, quote_cell
 from chivescale.sheet._model import COLUMNS, Defect, Sheet, make_sheet
 
 MAX_SHEET_BYTES = 4 << 20
@@ -21,7 +21,7 @@
 
 
 def parse_sheet(text: str | bytes) -> Sheet | Failure:
-    """Parse a whole sheet; nothing of a defective one is used.
+    """Parse a sheet; a single defect rejects the whole sheet.
 
     Parameters
     ----------
@@ -32,8 +32,8 @@
     Returns
     -------
     sheet or Failure
-        ``SHEET_INVALID`` with row, column and reason of every defect, up
-        to `MAX_DEFECTS`.
+        ``SHEET_INVALID`` with row, column and reason of up to
+        `MAX_DEFECTS` defects.
     """
     sheet, defects = check_sheet(text)
     if sheet is not None:
@@ -45,23 +45,23 @@
 
 
 def check_sheet(text: str | bytes) -> tuple[Sheet | None, list[Defect]]:
-    """Parse a sheet and return it or its defects in row order.
+    """Parse a sheet and return it, or its defects sorted by row.
 
-    The search ends soon after `MAX_DEFECTS`.
+    Parsing stops once there are more than `MAX_DEFECTS` defects.
     """
-    checker = _Checker()
-    content = checker.read_text(text)
-    rows = [] if checker.defects else checker.read_rows(content)
-    if rows and not checker.defects:
-        checker.read_table(rows)
-    if checker.defects:
-        return None, sorted(checker.defects, key=lambda item: item.row)
-    sheet = make_sheet(checker.services.values(), checker.build_workspaces())
+    parser = _SheetParser()
+    content = parser.decode_text(text)
+    rows = [] if parser.defects else parser.split_rows(content)
+    if rows and not parser.defects:
+        parser.parse_rows(rows)
+    if parser.defects:
+        return None, sorted(parser.defects, key=lambda item: item.row)
+    sheet = make_sheet(parser.services.values(), parser.build_workspaces())
     return sheet, []
 
 
-class _Checker:
-    """Collects rows and defects of one sheet."""
+class _SheetParser:
+    """Collects the records and defects of a sheet."""
 
     def __init__(self):
         self.defects: list[Defect] = []
@@ -70,33 +70,33 @@
         self.bindings: dict[tuple[str, str], ServiceBinding] = {}
         self.first_row: dict[tuple, int] = {}
 
-    def refuse(self, row: int, column: str, reason: str) -> None:
+    def add_defect(self, row: int, column: str, reason: str) -> None:
         self.defects.append(Defect(row, column, reason))
 
-    def read_text(self, text: str | bytes) -> str:
-        """Return decoded text of an accepted size."""
+    def decode_text(self, text: str | bytes) -> str:
+        """Check the size and encoding and return the decoded text."""
         size = len(text)
         if isinstance(text, str):
             size = len(text.encode("utf-8", "surrogatepass"))
         if size > MAX_SHEET_BYTES:
-            self.refuse(1, "", f"{size} bytes, at most {MAX_SHEET_BYTES}")
+            self.add_defect(1, "", f"{size} bytes, at most {MAX_SHEET_BYTES}")
             return ""
         if isinstance(text, bytes):
             try:
                 text = text.decode("utf-8")
             except UnicodeDecodeError as err:
                 row = text[: err.start].count(b"\n") + 1
-                self.refuse(row, "", f"byte {err.start} is not UTF-8")
+                self.add_defect(row, "", f"byte {err.start} is not UTF-8")
                 return ""
         text = text.removeprefix("\ufeff")
-        place = text.find("\0")
-        if place >= 0:
-            row = text[:place].count("\n") + 1
-            self.refuse(row, "", "NUL character")
+        offset = text.find("\0")
+        if offset >= 0:
+            row = text[:offset].count("\n") + 1
+            self.add_defect(row, "", "NUL character")
         return text
 
-    def read_rows(self, text: str) -> list[Row]:
-        """Split into rows; wholly empty ones have no meaning."""
+    def split_rows(self, text: str) -> list[Row]:
+        """Split the text into rows, skipping empty ones."""
         reader = csv.reader(io.StringIO(text, newline=""), strict=True)
         rows: list[Row] = []
         start = 1
@@ -107,77 +107,79 @@
                 start = reader.line_num + 1
                 if len(rows) > MAX_SHEET_ROWS + 1:
                     reason = f"more than {MAX_SHEET_ROWS} rows"
-                    self.refuse(rows[-1][0], "", reason)
+                    self.add_defect(rows[-1][0], "", reason)
                     return []
         except csv.Error as err:
-            self.refuse(start, "", f"bad quoting: {err}")
+            self.add_defect(start, "", f"bad quoting: {err}")
             return []
         if len(rows) < 2:
-            self.refuse(1, "", "empty sheet: no rows below the header")
+            self.add_defect(1, "", "empty sheet: no rows below the header")
         return rows
 
-    def read_table(self, rows: list[Row]) -> None:
+    def parse_rows(self, rows: list[Row]) -> None:
         """Read every row below the header, then check references."""
         header_row, header = rows[0]
-        self.read_header(header_row, header)
+        self.check_header(header_row, header)
         if self.defects:
             return
         for row, cells in rows[1:]:
-            self.read_row(row, header, cells)
+            self.parse_row(row, header, cells)
             if len(self.defects) > MAX_DEFECTS:
                 return
         self.check_references()
 
-    def read_header(self, row: int, header: list[str]) -> None:
+    def check_header(self, row: int, header: list[str]) -> None:
         for index, column in enumerate(header):
             if column not in COLUMNS:
-                self.refuse(row, "", f"unknown column {shown(column)}")
+                self.add_defect(
+                    row, "", f"unknown column {quote_cell(column)}"
+                )
             elif column in header[:index]:
-                self.refuse(row, column, "column appears twice")
+                self.add_defect(row, column, "column appears twice")
             if len(self.defects) > MAX_DEFECTS:
                 return
         for column in COLUMNS:
             if column not in header:
-                self.refuse(row, column, "column is missing")
+                self.add_defect(row, column, "column is missing")
 
-    def read_row(self, row: int, header: list[str], cells: list[str]) -> None:
+    def parse_row(self, row: int, header: list[str], cells: list[str]) -> None:
         if len(cells) != len(header):
             reason = f"{len(cells)} cells, the header has {len(header)}"
-            self.refuse(row, "", reason)
+            self.add_defect(row, "", reason)
             return
         named = dict(zip(header, cells, strict=True))
         kind = named.pop("kind")
-        if kind not in ROW_CELLS:
-            reason = f"{shown(kind)} is no service, workspace or binding"
-            self.refuse(row, "kind", reason)
+        if kind not in COLUMN_PARSERS:
+            reason = f"{quote_cell(kind)} is not service, workspace or binding"
+            self.add_defect(row, "kind", reason)
             return
-        values = self.read_cells(row, kind, named)
+        values = self.parse_cells(row, kind, named)
         if values is not None:
-            self.add(row, kind, values)
+            self.add_record(row, kind, values)
 
-    def read_cells(
+    def parse_cells(
         self, row: int, kind: str, named: dict[str, str]
     ) -> dict[str, typing.Any] | None:
         values = {}
         before = len(self.defects)
         for column, text in named.items():
-            reader = ROW_CELLS[kind].get(column)
-            if reader is not None:
-                value = reader(text)
-                if isinstance(value, BadCell):
-                    self.refuse(row, column, value.reason)
+            parse = COLUMN_PARSERS[kind].get(column)
+            if parse is not None:
+                value = parse(text)
+                if isinstance(value, InvalidCell):
+                    self.add_defect(row, column, value.reason)
                 values[column] = value
             elif text:
                 reason = f"must be empty in a {kind} row"
-                self.refuse(row, column, reason)
+                self.add_defect(row, column, reason)
         return values if len(self.defects) == before else None
 
-    def add(self, row: int, kind: str, values: dict) -> None:
+    def add_record(self, row: int, kind: str, values: dict) -> None:
         name = values["name"]
         key = (kind, name, values.get("service", ""))
         if key in self.first_row:
             reason = f"same {kind} as in row {self.first_row[key]}"
-            self.refuse(row, "name", reason)
+            self.add_defect(row, "name", reason)
             return
         self.first_row[key] = row
         if kind == "service":
@@ -190,20 +192,22 @@
             self.bindings[(name, binding.service)] = binding
 
     def check_references(self) -> None:
-        """Check that bindings name rows of this sheet.
+        """Check that bindings refer to workspaces and services of the sheet.
 
-        Names of defective rows count as known, so that one defect is not
-        reported again by every binding.
+        Skipped if there are other defects: a defective row would be reported
+        again by every binding that refers to it.
         """
         if self.defects:
             return
         for name, service in self.bindings:
             row = self.first_row[("binding", name, service)]
             if name not in self.workspaces:
-                self.refuse(row, "name", f"unknown workspace {shown(name)}")
+                self.add_defect(
+                    row, "name", f"unknown workspace {quote_cell(name)}"
+                )
             if service not in self.services:
-                reason = f"unknown service {shown(service)}"
-                self.refuse(row, "service", reason)
+                reason = f"unknown service {quote_cell(service)}"
+                self.add_defect(row, "service", reason)
             if len(self.defects) > MAX_DEFECTS:
                 return
 
--- a/chivescale/sheet/tests/sheet.feature
+++ b/chivescale/sheet/tests/sheet.feature
@@ -1,29 +1,29 @@
 Feature: Sheet
-  Guards against a sheet that is taken in part, refused without a usable
-  reason, or seen as changed although its content is the same.
+  Guards against a sheet that is applied in part, rejected without a usable
+  reason, or reported as changed although its content is the same.
 
   Scenario: A complete sheet
     Given the example sheet
     When it is parsed
     Then it has 2 services, 2 workspaces and 3 bindings
 
-  Scenario: A byte order mark and Windows line ends change nothing
+  Scenario: Byte order mark and line endings do not affect the digest
     Given the example sheet
     Then its digest stays the same with a byte order mark
-    And its digest stays the same with Windows line ends
+    And its digest stays the same with Windows line endings
     And its digest stays the same with empty lines
 
-  Scenario: Order and notation change nothing
+  Scenario: Row order, column order and notation do not affect the digest
     Given the example sheet
     Then its digest stays the same with rows reversed
     And its digest stays the same with columns reversed
     And its digest stays the same with all cells quoted
     And its digest stays the same with rate 10.50 written as 10.5
 
-  Scenario Outline: A defect refuses the whole sheet
+  Scenario Outline: A single defect rejects the whole sheet
     Given the example sheet
     When "<old>" is replaced by "<new>"
-    Then it is refused in row <row> column "<column>" because "<reason>"
+    Then it is rejected in row <row> column "<column>" because "<reason>"
 
     Examples: header
       | old          | new               | row | column       | reason              |
@@ -34,26 +34,26 @@
 
     Examples: cells
       | old           | new              | row | column       | reason              |
-      | service,lots  | servant,lots     | 3   | kind         | no service, workspace or binding |
-      | service,lots  | Service,lots     | 3   | kind         | no service, workspace or binding |
+      | service,lots  | servant,lots     | 3   | kind         | not service, workspace or binding |
+      | service,lots  | Service,lots     | 3   | kind         | not service, workspace or binding |
       | service,lots  | service,lots;x   | 3   | name         | letters, digits     |
       | service,lots  | service, lots    | 3   | name         | letters, digits     |
       | service,lots  | service,-lots    | 3   | name         | letters, digits     |
       | service,lots  | service,lóts     | 3   | name         | letters, digits     |
       | service,lots  | service,         | 3   | name         | missing             |
       | service,lots  | service,ledger   | 3   | name         | same service as in row 2 |
-      | 500,connection | -1,connection   | 7   | staleness_ms | no whole number     |
-      | 500,connection | 1.5,connection  | 7   | staleness_ms | no whole number     |
-      | 500,connection | 1_000,connection | 7  | staleness_ms | no whole number     |
-      | 500,connection | ٣,connection    | 7   | staleness_ms | no whole number     |
+      | 500,connection | -1,connection   | 7   | staleness_ms | not an integer     |
+      | 500,connection | 1.5,connection  | 7   | staleness_ms | not an integer     |
+      | 500,connection | 1_000,connection | 7  | staleness_ms | not an integer     |
+      | 500,connection | ٣,connection    | 7   | staleness_ms | not an integer     |
       | 500,connection | 86400001,connection | 7 | staleness_ms | is not in 0 to   |
-      | 500,connection | 9999999999,connection | 7 | staleness_ms | no whole number |
+      | 500,connection | 9999999999,connection | 7 | staleness_ms | not an integer |
       | 500,connection | 500,host        | 7   | session_scope | neither workspace nor connection |
-      | 10.50         | nan              | 4   | max_rate     | no decimal number   |
-      | 10.50         | inf              | 4   | max_rate     | no decimal number   |
-      | 10.50         | -1               | 4   | max_rate     | no decimal number   |
-      | 10.50         | 1e3              | 4   | max_rate     | no decimal number   |
-      | 10.50         | 0x10             | 4   | max_rate     | no decimal number   |
+      | 10.50         | nan              | 4   | max_rate     | not a decimal number   |
+      | 10.50         | inf              | 4   | max_rate     | not a decimal number   |
+      | 10.50         | -1               | 4   | max_rate     | not a decimal number   |
+      | 10.50         | 1e3              | 4   | max_rate     | not a decimal number   |
+      | 10.50         | 0x10             | 4   | max_rate     | not a decimal number   |
       | ,aaaa         | ,zaaa            | 4   | secret_hash  | 40 hexadecimal      |
       | ,aaaa         | ,aaa             | 4   | secret_hash  | 40 hexadecimal      |
       | ,aaaa         | ,aaaaa           | 4   | secret_hash  | 40 hexadecimal      |
@@ -70,9 +70,9 @@
       | service,lots    | "service,lots     | 3   |         | bad quoting       |
       | service,lots    | "service"x,lots   | 3   |         | bad quoting       |
 
-  Scenario Outline: A text that is no sheet
+  Scenario Outline: Text that is not a sheet
     When the sheet <text> is parsed
-    Then it is refused in row <row> column "" because "<reason>"
+    Then it is rejected in row <row> column "" because "<reason>"
 
     Examples:
       | text                   | row | reason          |
@@ -83,11 +83,11 @@
       | of more bytes than allowed | 1 | at most       |
       | of more rows than allowed | 50002 | more than   |
 
-  Scenario: All defects are listed, up to a bound
+  Scenario: The number of listed defects is limited
     When a sheet with 70 defective rows is parsed
     Then the reason names 50 defects and that there are more
 
-  Scenario: Secrets do not appear in reasons
+  Scenario: Secret hashes do not appear in error messages
     Given the example sheet
     When ",aaaa" is replaced by ",xaaaa"
     Then the reason does not contain "xaaaa"
@@ -98,7 +98,7 @@
   Scenario: Formatting and parsing keep every sheet
     Then any generated sheet survives formatting and parsing
 
-  Scenario: Hostile bytes give a sheet or a failure
+  Scenario: Arbitrary bytes give a sheet or a failure
     Then any bytes give a sheet or a failure of kind sheet_invalid
     And any damage to the example sheet gives a sheet or a failure
 
--- a/chivescale/sheet/tests/steps/sheet_steps.py
+++ b/chivescale/sheet/tests/steps/sheet_steps.py
@@ -51,7 +51,7 @@
 
 VARIANTS = {
     "a byte order mark": lambda: "\ufeff" + EXAMPLE,
-    "Windows line ends": lambda: EXAMPLE.replace("\n", "\r\n"),
+    "Windows line endings": lambda: EXAMPLE.replace("\n", "\r\n"),
     "empty lines": lambda: EXAMPLE.replace("\n", "\n\n,,,\n"),
     "rows reversed": lambda: rewrite(lambda r: [r[0], *r[:0:-1]]),
     "columns reversed": lambda: rewrite(lambda r: [x[::-1] for x in r]),
@@ -117,8 +117,8 @@
     context.content = TEXTS[text]()
 
 
-@then('it is refused in row {row:d} column "{column}" because "{reason}"')
-def refused(context, row, column, reason):
+@then('it is rejected in row {row:d} column "{column}" because "{reason}"')
+def rejected(context, row, column, reason):
     sheet, defects = check_sheet(context.content)
     assert sheet is None
     found = [
@@ -133,9 +133,9 @@
     assert "\n" not in failure.reason
 
 
-@then('it is refused in row {row:d} column "" because "{reason}"')
-def refused_row(context, row, reason):
-    refused(context, row, "", reason)
+@then('it is rejected in row {row:d} column "" because "{reason}"')
+def rejected_row(context, row, reason):
+    rejected(context, row, "", reason)
 
 
 @when("a sheet with {count:d} defective rows is parsed")
