--- a/chivescale/daemon/__init__.py
+++ b/chivescale/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The process of an entry or control host."""
+"""The daemon process of an entry or control host."""
 
 from chivescale.daemon._main import main
 
--- a/chivescale/daemon/_main.py
+++ b/chivescale/daemon/_main.py
@@ -1,4 +1,4 @@
-"""Command line of ``chivescaled``."""
+"""Command-line interface of ``chivescaled``."""
 
 import argparse
 import asyncio
@@ -16,15 +16,15 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the daemon until a signal ends it.
+    """Run the daemon until it is terminated by a signal.
 
     Returns
     -------
     int
-        0 after a graceful shutdown, 1 if it was cut short, 2 if the host
+        0 after a graceful shutdown, 1 if it was forced, 2 if the host
         could not start.
     """
-    options = _parse(arguments)
+    options = _parse_arguments(arguments)
     settings = load_settings(options.settings)
     if is_failure(settings):
         print(settings.reason, file=sys.stderr)
@@ -44,19 +44,19 @@
     return EXIT_OK if outcome else EXIT_FORCED
 
 
-def _parse(arguments: list[str] | None) -> argparse.Namespace:
+def _parse_arguments(arguments: list[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         prog="chivescaled",
         description="Entry or control host of chivescale.",
-        epilog="SIGTERM or SIGINT drains the host and ends it; a second "
-        "signal ends it at once. Exit codes: 0 graceful shutdown, 1 cut "
-        "short, 2 not started.",
+        epilog="SIGTERM or SIGINT drains the host and stops it; a second "
+        "signal stops it at once. Exit codes: 0 graceful shutdown, 1 forced "
+        "shutdown, 2 not started.",
     )
     parser.add_argument(
         "--settings", required=True, metavar="FILE", help="TOML file"
     )
     parser.add_argument(
-        "--check", action="store_true", help="check the settings and end"
+        "--check", action="store_true", help="check the settings and exit"
     )
     parser.add_argument(
         "--version", action="version", version=chivescale.__version__
--- a/chivescale/daemon/_run.py
+++ b/chivescale/daemon/_run.py
@@ -1,4 +1,4 @@
-"""Start, signals and graceful shutdown of a host."""
+"""Startup, signal handling and graceful shutdown of a host."""
 
 import asyncio
 import os
@@ -10,14 +10,14 @@
 from chivescale.telemetry import Metrics, log_event
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT)
-# A host whose own shutdown hangs must still end.
+# Time limit per component, so that one that hangs cannot block the exit.
 STOP_TIMEOUT_S = 5.0
-DRAIN_MARGIN_S = 1.0
+DRAIN_EXTRA_S = 1.0
 EXIT_SECOND_SIGNAL = 1
 
 
 async def run(settings: Settings, secret: bytes) -> bool | Failure:
-    """Run the roles of the settings until a signal arrives.
+    """Run the configured roles until a signal arrives.
 
     Returns
     -------
@@ -25,20 +25,20 @@
         Whether the shutdown was graceful, or why the host did not start.
     """
     stopping = asyncio.Event()
-    _watch_signals(stopping)
+    _install_signal_handlers(stopping)
     asyncio.get_running_loop().set_exception_handler(_log_exception)
     metrics = Metrics(settings.listen.metrics)
     try:
-        hosts = _make_hosts(settings, secret, metrics)
-    except OSError as err:  # also an unusable certificate
-        return Failure(ErrorKind.SETTINGS_INVALID, _plain(err))
+        hosts = _create_hosts(settings, secret, metrics)
+    except OSError as err:  # includes unusable certificates
+        return Failure(ErrorKind.SETTINGS_INVALID, _error_text(err))
     started: list[typing.Any] = []
-    for host in [metrics, *hosts]:
-        failure = await _start(host)
+    for component in [metrics, *hosts]:
+        failure = await _start(component)
         if failure is not None:
             await _stop_all(started)
             return failure
-        started.append(host)
+        started.append(component)
     log_event("started", roles=",".join(settings.host.roles))
     await stopping.wait()
     drained = await _drain(hosts, settings.entry.drain_timeout_s)
@@ -47,11 +47,11 @@
     return drained and stopped
 
 
-def _make_hosts(settings: Settings, secret: bytes, metrics: Metrics) -> list:
-    """Build the hosts in the order in which they start.
+def _create_hosts(settings: Settings, secret: bytes, metrics: Metrics) -> list:
+    """Create the hosts in start order.
 
-    A process without a role does not load the modules of that role, which
-    keeps its memory small.
+    Modules of a role are imported only by processes that have it, which saves
+    memory.
     """
     hosts: list[typing.Any] = []
     if "control" in settings.host.roles:
@@ -65,23 +65,23 @@
     return hosts
 
 
-async def _start(host: typing.Any) -> Failure | None:
+async def _start(component: typing.Any) -> Failure | None:
     try:
-        outcome = await host.start()
-    except OSError as err:  # an address in use, an unusable folder
-        return Failure(ErrorKind.SETTINGS_INVALID, _plain(err))
+        outcome = await component.start()
+    except OSError as err:  # address in use, inaccessible folder
+        return Failure(ErrorKind.SETTINGS_INVALID, _error_text(err))
     return outcome if is_failure(outcome) else None
 
 
 async def _drain(hosts: list, timeout_s: float) -> bool:
-    """Drain the hosts that serve callers; tell whether it was in time."""
+    """Drain the hosts that serve callers; return False after a time-out."""
     drains = [host.drain() for host in hosts if hasattr(host, "drain")]
     if not drains:
         return True
     log_event("draining", timeout_s=timeout_s)
     try:
-        # The host bounds its own drain; this is for one that hangs.
-        async with asyncio.timeout(timeout_s + DRAIN_MARGIN_S):
+        # Each host limits its own drain time; this catches one that hangs.
+        async with asyncio.timeout(timeout_s + DRAIN_EXTRA_S):
             await asyncio.gather(*drains)
     except TimeoutError:
         log_event("drain_cut_short", "warning", timeout_s=timeout_s)
@@ -90,26 +90,26 @@
 
 
 async def _stop_all(started: list) -> bool:
-    """Stop in the opposite order of the start."""
+    """Stop the components in reverse start order."""
     graceful = True
-    for host in reversed(started):
+    for component in reversed(started):
         try:
             async with asyncio.timeout(STOP_TIMEOUT_S):
-                await host.stop()
+                await component.stop()
         except TimeoutError:
-            name = type(host).__name__
+            name = type(component).__name__
             log_event("stop_cut_short", "warning", part=name)
             graceful = False
     return graceful
 
 
-def _watch_signals(stopping: asyncio.Event) -> None:
+def _install_signal_handlers(stopping: asyncio.Event) -> None:
     loop = asyncio.get_running_loop()
 
     def handle(name: str) -> None:
         if stopping.is_set():
             log_event("second_signal", "warning", signal=name)
-            # Not sys.exit: cancelled tasks could delay the end again.
+            # Not sys.exit: cancelled tasks could delay the exit again.
             os._exit(EXIT_SECOND_SIGNAL)
         log_event("signal", signal=name)
         stopping.set()
@@ -127,6 +127,6 @@
     )
 
 
-def _plain(err: OSError) -> str:
+def _error_text(err: OSError) -> str:
     text = err.strerror or str(err)
     return f"{err.filename}: {text}" if err.filename else text
