--- a/chivescale/cli/__init__.py
+++ b/chivescale/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's command line."""
+"""Command-line interface for operators."""
 
 from chivescale.cli._main import main
 
--- a/chivescale/cli/_data.py
+++ b/chivescale/cli/_data.py
@@ -1,4 +1,4 @@
-"""Commands on the data folder of a control host."""
+"""Commands that inspect the data folder of a control host."""
 
 import argparse
 import pathlib
@@ -10,14 +10,15 @@
 from chivescale.sheet import digest, format_sheet, make_sheet
 from chivescale.state import ClusterState
 
-# Kind of the log entries that change the state.
-COMMAND = "command"
+# Kind of log entries that change the state.
+COMMAND_KIND = "command"
 
 
 def check(options: argparse.Namespace) -> Report:
-    """Check every record of a folder without changing it.
+    """Verify every record of a folder without modifying it.
 
-    The host should be stopped; a record that is being written looks torn.
+    The host should be stopped, since a record that is being written appears
+    torn.
     """
     folder = pathlib.Path(options.folder)
     if not folder.is_dir():
@@ -51,10 +52,10 @@
 
 
 def snapshot(options: argparse.Namespace) -> Report:
-    """Show the state that a folder holds: its snapshot and its log.
+    """Show the state in a folder, rebuilt from its snapshot and log.
 
-    Meant for recovery when no control host is left. Entries at the end of
-    the log may not have been committed.
+    Intended for recovery after the loss of all control hosts. The last
+    entries of the log may be uncommitted.
     """
     content = read_folder(options.folder)
     if content.error is not None:
@@ -80,7 +81,7 @@
     for entry in recovered.entries:
         if is_failure(state):
             break
-        if entry.kind != COMMAND:
+        if entry.kind != COMMAND_KIND:
             continue
         command = decode(entry.data, Command)
         if is_failure(command):
--- a/chivescale/cli/_health.py
+++ b/chivescale/cli/_health.py
@@ -1,4 +1,4 @@
-"""What is wrong in a picture of the system."""
+"""Health checks on a snapshot of the system."""
 
 import collections.abc
 import typing
@@ -7,61 +7,67 @@
 from chivescale.messages import ServiceRecord
 
 if typing.TYPE_CHECKING:
-    from chivescale.cli._status import Picture
+    from chivescale.cli._status import SystemSnapshot
 
 
-def find_problems(picture: "Picture") -> list[str]:
-    """Return one line for each thing that needs an operator."""
+def find_problems(snapshot: "SystemSnapshot") -> list[str]:
+    """Return one line for each problem that needs an operator."""
     return [
-        *_control_problems(picture),
-        *_host_problems(picture),
-        *_service_problems(picture),
-        *_endpoint_problems(picture),
+        *_control_problems(snapshot),
+        *_host_problems(snapshot),
+        *_service_problems(snapshot),
+        *_endpoint_problems(snapshot),
     ]
 
 
-def _control_problems(picture: "Picture") -> collections.abc.Iterator[str]:
+def _control_problems(
+    snapshot: "SystemSnapshot",
+) -> collections.abc.Iterator[str]:
     answers = [
-        answer for _, answer in picture.control if not is_failure(answer)
+        answer for _, answer in snapshot.control if not is_failure(answer)
     ]
     leader = next((item for item in answers if item.role == "leader"), None)
     if leader is None:
         yield "control hosts: no leader"
-    for address, answer in picture.control:
+    for address, answer in snapshot.control:
         if is_failure(answer):
             yield f"control host {address}: {answer.reason}"
         elif leader is not None and not answer.leader:
-            # So is a host that lost its disk until it is admitted again.
+            # Includes a host that lost its disk and is not yet readmitted.
             yield f"control host {answer.host}: follows no leader"
     if leader is not None:
         for member in leader.members:
             if not member.voter:
                 yield f"control host {member.name}: has no vote yet"
-    if picture.state.sheet is None:
+    if snapshot.state.sheet is None:
         yield "no sheet is in force"
 
 
-def _host_problems(picture: "Picture") -> collections.abc.Iterator[str]:
-    if not picture.hosts:
+def _host_problems(
+    snapshot: "SystemSnapshot",
+) -> collections.abc.Iterator[str]:
+    if not snapshot.hosts:
         yield "no entry host is known"
-    for host, answer in picture.hosts:
+    for host, answer in snapshot.hosts:
         if is_failure(answer):
             yield f"entry host {host.host}: {answer.reason}"
         elif not answer.ready and not (host.draining or answer.draining):
             yield f"entry host {host.host}: not ready"
 
 
-def _service_problems(picture: "Picture") -> collections.abc.Iterator[str]:
+def _service_problems(
+    snapshot: "SystemSnapshot",
+) -> collections.abc.Iterator[str]:
     alive = {
         record.endpoint: answer
-        for record, answer in picture.endpoints
+        for record, answer in snapshot.endpoints
         if not is_failure(answer)
     }
-    for service in picture.state.services:
+    for service in snapshot.state.services:
         if not service.term:
             known = sum(
                 record.service == service.service
-                for record, _ in picture.endpoints
+                for record, _ in snapshot.endpoints
             )
             yield (
                 f"service {service.service}: no term yet, {known} of "
@@ -97,8 +103,10 @@
         )
 
 
-def _endpoint_problems(picture: "Picture") -> collections.abc.Iterator[str]:
-    primaries = {item.primary for item in picture.state.services}
-    for record, answer in picture.endpoints:
+def _endpoint_problems(
+    snapshot: "SystemSnapshot",
+) -> collections.abc.Iterator[str]:
+    primaries = {item.primary for item in snapshot.state.services}
+    for record, answer in snapshot.endpoints:
         if is_failure(answer) and record.endpoint not in primaries:
             yield f"endpoint {record.endpoint}: {answer.reason}"
--- a/chivescale/cli/_leader.py
+++ b/chivescale/cli/_leader.py
@@ -1,4 +1,4 @@
-"""Requests to the control leader from outside the system."""
+"""Client for requests to the control leader."""
 
 import asyncio
 import typing
@@ -7,14 +7,14 @@
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.transport import Client
 
-# One host may hang for as long as this before the next one is asked.
-TRY_TIMEOUT_S = 2.0
-FIRST_PAUSE_S = 0.05
-MAX_PAUSE_S = 0.5
+# Limits how long a host that does not respond delays the next attempt.
+ATTEMPT_TIMEOUT_S = 2.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.5
 
-# Answers of a host that cannot serve the request now; another one may, or
-# the same one after an election.
-_TRY_NEXT = (
+# Errors of a host that cannot serve the request now. Another host may be
+# able to, or the same one after an election.
+_RETRYABLE_KINDS = (
     ErrorKind.UNREACHABLE,
     ErrorKind.TIMEOUT,
     ErrorKind.NOT_LEADER,
@@ -30,14 +30,14 @@
 
 
 class LeaderClient:
-    """Finds the control leader through any control host.
+    """Sends requests to the control leader, starting at any control host.
 
     Parameters
     ----------
     client : Client
-        Transport.
+        HTTP client.
     addresses : tuple of str
-        Known control hosts; redirects lead to further ones.
+        Known control hosts; redirects can lead to others.
     """
 
     def __init__(self, client: Client, addresses: tuple[str, ...]):
@@ -53,56 +53,56 @@
         *,
         timeout_s: float,
     ) -> typing.Any:
-        """Send a request that is safe to repeat until it is answered.
+        """Send an idempotent request and retry it until it is answered.
 
         Returns
         -------
         reply or Failure
-            The last failure once `timeout_s` has passed; ``TIMEOUT`` if any
-            attempt may have taken effect.
+            The last failure after `timeout_s`; ``TIMEOUT`` if any attempt
+            may have taken effect.
         """
         deadline = clock.now() + timeout_s
-        pause_s = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         in_doubt = False
         answer: typing.Any = Failure(ErrorKind.UNREACHABLE, "no time left")
         while clock.now() < deadline:
-            answer, doubt = await self._round(
+            answer, may_have_run = await self._try_hosts(
                 method, path, reply_type, body, deadline
             )
-            in_doubt = in_doubt or doubt
-            if not is_failure(answer) or answer.kind not in _TRY_NEXT:
+            in_doubt = in_doubt or may_have_run
+            if not is_failure(answer) or answer.kind not in _RETRYABLE_KINDS:
                 return answer
             left = deadline - clock.now()
-            await asyncio.sleep(max(0.0, min(pause_s, left)))
-            pause_s = min(2 * pause_s, MAX_PAUSE_S)
+            await asyncio.sleep(max(0.0, min(backoff_s, left)))
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
         if in_doubt:
             reason = f"no answer in {timeout_s:g} s; last: {answer.reason}"
             return Failure(ErrorKind.TIMEOUT, reason)
         return answer
 
-    async def _round(self, method, path, reply_type, body, deadline):
-        """Ask each known host once; redirects come first."""
-        waiting = list(self.addresses)
-        asked: set[str] = set()
+    async def _try_hosts(self, method, path, reply_type, body, deadline):
+        """Send the request to each known host once, redirects first."""
+        pending = list(self.addresses)
+        tried: set[str] = set()
         in_doubt = False
         answer = Failure(ErrorKind.UNREACHABLE, "no control host")
-        while waiting:
-            address = waiting.pop(0)
+        while pending:
+            address = pending.pop(0)
             left = deadline - clock.now()
-            if address in asked or left <= 0:
+            if address in tried or left <= 0:
                 continue
-            asked.add(address)
+            tried.add(address)
             answer = await self.client.call(
                 address,
                 method,
                 path,
                 reply_type,
                 body,
-                timeout_s=min(TRY_TIMEOUT_S, left),
+                timeout_s=min(ATTEMPT_TIMEOUT_S, left),
             )
-            if not is_failure(answer) or answer.kind not in _TRY_NEXT:
+            if not is_failure(answer) or answer.kind not in _RETRYABLE_KINDS:
                 return answer, in_doubt
             in_doubt = in_doubt or answer.may_have_run
             if answer.redirect:
-                waiting.insert(0, answer.redirect)
+                pending.insert(0, answer.redirect)
         return answer, in_doubt
--- a/chivescale/cli/_local.py
+++ b/chivescale/cli/_local.py
@@ -1,4 +1,4 @@
-"""Commands that need no running system."""
+"""Commands that do not need a running system."""
 
 import argparse
 import hashlib
@@ -14,7 +14,7 @@
 def hash_secret(_options: argparse.Namespace) -> Report:
     """Hash the workspace secret on standard input for the sheet.
 
-    One line break at the end does not count, so that ``echo`` works.
+    A trailing line break is ignored, so that the output of ``echo`` works.
     """
     secret = sys.stdin.buffer.read(MAX_SECRET_BYTES + 2)
     secret = secret.removesuffix(b"\n").removesuffix(b"\r")
@@ -27,7 +27,7 @@
 
 
 def check_settings(options: argparse.Namespace) -> Report:
-    """Check settings files one by one and against each other."""
+    """Check settings files individually and for conflicts between them."""
     report = Report(data={"files": options.files, "errors": []})
     loaded: list[tuple[str, Settings]] = []
     for path in options.files:
@@ -37,15 +37,15 @@
         else:
             loaded.append((path, settings))
             report.lines.append(f"{path}: ok")
-    report.errors += _conflicts(loaded)
+    report.errors += _find_conflicts(loaded)
     report.data["errors"] = report.errors
     if report.errors:
         report.code = ExitCode.USAGE
     return report
 
 
-def _conflicts(loaded: list[tuple[str, Settings]]) -> list[str]:
-    """Return contradictions between files of one system."""
+def _find_conflicts(loaded: list[tuple[str, Settings]]) -> list[str]:
+    """Return conflicts between the settings files of one system."""
     errors = []
     names: dict[str, str] = {}
     used: dict[str, str] = {}
--- a/chivescale/cli/_main.py
+++ b/chivescale/cli/_main.py
@@ -1,4 +1,4 @@
-"""Command line of ``chivescale``."""
+"""Command-line interface of ``chivescale``."""
 
 import argparse
 import asyncio
@@ -24,26 +24,26 @@
 
 def main(arguments: list[str] | None = None) -> int:
     """Run one command and return its exit code."""
-    options = _parser().parse_args(arguments)
+    options = _make_parser().parse_args(arguments)
     report = options.run(options)
     if inspect.isawaitable(report):
-        report = asyncio.run(_finish(report))
+        report = asyncio.run(_await_report(report))
     print_report(report, options.json)
     return int(report.code)
 
 
-async def _finish(report: collections.abc.Awaitable):
+async def _await_report(report: collections.abc.Awaitable):
     return await report
 
 
-def _online(command: Command):
+def _with_system(command: Command):
     def run(options: argparse.Namespace):
         return run_with_system(command, options)
 
     return run
 
 
-def _parser() -> argparse.ArgumentParser:
+def _make_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="chivescale",
         description="Operate a chivescale system.",
@@ -54,42 +54,47 @@
     )
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
     _add_local(commands)
-    _add_sheet(_group(commands, "sheet", "check, compare and apply sheets"))
-    status = _add(
-        commands, "status", "show the system", _online(_status.show_status)
+    _add_sheet(
+        _add_group(commands, "sheet", "check, compare and apply sheets")
+    )
+    status = _add_command(
+        commands,
+        "status",
+        "show the system",
+        _with_system(_status.show_status),
     )
     add_access_options(status)
     status.add_argument("--service", help="only this service")
-    drain = _add(
-        commands, "drain", "drain an entry host", _online(_control.drain)
+    drain = _add_command(
+        commands, "drain", "drain an entry host", _with_system(_control.drain)
     )
     add_access_options(drain)
     drain.add_argument("host", metavar="HOST")
     _add_wait(drain, "until the host serves no caller")
-    control = _group(commands, "control", "change control hosts")
-    replace = _add(
+    control = _add_group(commands, "control", "change control hosts")
+    replace = _add_command(
         control,
         "replace",
         "admit a control host that lost its disk",
-        _online(_control.replace),
+        _with_system(_control.replace),
     )
     add_access_options(replace)
     replace.add_argument("name", metavar="NAME")
     _add_data(
-        _group(commands, "data", "examine a data folder of a control host")
+        _add_group(commands, "data", "examine a data folder of a control host")
     )
     return parser
 
 
 def _add_local(commands) -> None:
-    check = _add(
+    check = _add_command(
         commands,
         "check-settings",
         "check settings files",
         _local.check_settings,
     )
     check.add_argument("files", nargs="+", metavar="FILE")
-    _add(
+    _add_command(
         commands,
         "hash-secret",
         "hash a workspace secret from standard input",
@@ -98,9 +103,9 @@
 
 
 def _add_sheet(sheet) -> None:
-    check = _add(sheet, "check", "check a file", _sheet.check)
+    check = _add_command(sheet, "check", "check a file", _sheet.check)
     check.add_argument("file", metavar="FILE")
-    compare = _add(
+    compare = _add_command(
         sheet,
         "diff",
         "show what a file changes in the sheet in force",
@@ -111,11 +116,11 @@
         "--old", metavar="FILE", help="compare with this file instead"
     )
     add_access_options(compare)
-    apply = _add(sheet, "apply", "put a sheet in force", _sheet.apply)
+    apply = _add_command(sheet, "apply", "put a sheet in force", _sheet.apply)
     apply.add_argument("file", metavar="FILE")
     number = apply.add_mutually_exclusive_group(required=True)
     number.add_argument(
-        "--number", type=_sheet_number, help="number of the sheet"
+        "--number", type=_parse_sheet_number, help="number of the sheet"
     )
     number.add_argument(
         "--next",
@@ -124,7 +129,9 @@
     )
     add_access_options(apply)
     _add_wait(apply, "until it is in force on every entry host")
-    show = _add(sheet, "show", "show the sheet in force", _online(_sheet.show))
+    show = _add_command(
+        sheet, "show", "show the sheet in force", _with_system(_sheet.show)
+    )
     show.add_argument(
         "--csv", action="store_true", help="write it as a sheet file"
     )
@@ -136,7 +143,7 @@
         ("check", "check the files of a folder", _data.check),
         ("snapshot", "show the state that a folder holds", _data.snapshot),
     ):
-        parser = _add(data, name, text, command)
+        parser = _add_command(data, name, text, command)
         parser.add_argument("folder", metavar="FOLDER")
         if name == "snapshot":
             parser.add_argument(
@@ -153,12 +160,14 @@
     )
 
 
-def _group(commands, name: str, text: str):
+def _add_group(commands, name: str, text: str):
     parser = commands.add_parser(name, help=text, epilog=EXIT_CODES)
     return parser.add_subparsers(required=True, metavar="COMMAND")
 
 
-def _add(commands, name: str, text: str, run) -> argparse.ArgumentParser:
+def _add_command(
+    commands, name: str, text: str, run
+) -> argparse.ArgumentParser:
     parser = commands.add_parser(
         name, help=text, description=text.capitalize(), epilog=EXIT_CODES
     )
@@ -169,7 +178,7 @@
     return parser
 
 
-def _sheet_number(text: str) -> int:
+def _parse_sheet_number(text: str) -> int:
     if not (text.isascii() and text.isdigit()):
         raise argparse.ArgumentTypeError("expected a whole number")
     if not 1 <= int(text[:20]) <= MAX_SHEET_NUMBER:
--- a/chivescale/cli/_report.py
+++ b/chivescale/cli/_report.py
@@ -1,4 +1,4 @@
-"""Outcome of a command and how it is printed."""
+"""Result of a command and its output."""
 
 import collections.abc
 import enum
@@ -22,18 +22,18 @@
 
 
 class Report(msgspec.Struct):
-    """What a command found.
+    """Result of a command.
 
     Attributes
     ----------
     code : ExitCode
         Exit code.
     data : dict
-        Content of the output with ``--json``.
+        Output with ``--json``.
     lines : list of str
-        Output for people.
+        Text output.
     errors : list of str
-        Errors for people, written to standard error.
+        Error messages, written to standard error.
     """
 
     code: ExitCode = ExitCode.OK
@@ -52,14 +52,15 @@
 
 
 def report_failure(failure: Failure, *, reads_only: bool = False) -> Report:
-    """Return the report of a failed command.
+    """Create the report of a failed command.
 
     Parameters
     ----------
     failure : Failure
-        What went wrong.
+        Cause of the failure.
     reads_only : bool
-        Whether the command changes nothing; a lost answer is then no doubt.
+        Whether the command changes nothing, so that a lost response leaves
+        no doubt about the outcome.
     """
     if failure.kind in _USAGE_KINDS:
         code = ExitCode.USAGE
@@ -89,11 +90,11 @@
         print(line, file=sys.stderr)
 
 
-def table(
+def format_table(
     header: collections.abc.Sequence[str],
     rows: collections.abc.Iterable[collections.abc.Sequence[object]],
 ) -> list[str]:
-    """Return rows as aligned columns below a header."""
+    """Format rows as aligned columns with a header."""
     cells = [[str(cell) for cell in row] for row in [header, *rows]]
     if len(cells) == 1:
         return []
--- a/chivescale/cli/_sheet.py
+++ b/chivescale/cli/_sheet.py
@@ -1,11 +1,16 @@
-"""Commands on sheets."""
+"""Commands that check, compare, apply and show sheets."""
 
 import argparse
 import asyncio
 
 from chivescale import clock
-from chivescale.cli._report import ExitCode, Report, report_failure, table
-from chivescale.cli._status import ask_entry_hosts
+from chivescale.cli._report import (
+    ExitCode,
+    Report,
+    format_table,
+    report_failure,
+)
+from chivescale.cli._status import query_entry_hosts
 from chivescale.cli._system import System, read_file, run_with_system
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.messages import SheetAnswer, SheetUpload
@@ -20,34 +25,34 @@
 )
 
 SHEET_PATH = "/v1/sheet"
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
 def check(options: argparse.Namespace) -> Report:
     """Check a sheet file without a running system."""
-    sheet = _load(options.file)
+    sheet = _load_sheet(options.file)
     return sheet if isinstance(sheet, Report) else _describe(sheet)
 
 
 async def compare(options: argparse.Namespace) -> Report:
-    """Compare a file with another one or with the sheet in force."""
-    new = _load(options.file)
+    """Compare a sheet file with another one or with the sheet in force."""
+    new = _load_sheet(options.file)
     if isinstance(new, Report):
         return new
     if options.old is None:
         return await run_with_system(_compare_in_force(new), options)
-    old = _load(options.old)
+    old = _load_sheet(options.old)
     if isinstance(old, Report):
         return old
     return _report_changes(diff(old, new))
 
 
 async def apply(options: argparse.Namespace) -> Report:
-    """Upload a sheet; safe to repeat with the same number."""
+    """Upload a sheet; idempotent for a given sheet number."""
     content = read_file(options.file)
     if is_failure(content):
         return report_failure(content)
-    sheet = _parse(options.file, content)
+    sheet = _parse_sheet(options.file, content)
     if isinstance(sheet, Report):
         return sheet
     return await run_with_system(_upload(content.decode("utf-8")), options)
@@ -55,7 +60,7 @@
 
 async def show(system: System, options: argparse.Namespace) -> Report:
     """Show the sheet in force."""
-    answer = await _fetch(system)
+    answer = await _fetch_sheet(system)
     if is_failure(answer):
         return report_failure(answer, reads_only=True)
     sheet = make_sheet(answer.services, answer.workspaces)
@@ -64,7 +69,7 @@
     else:
         report = _describe(sheet)
         report.lines.insert(0, f"number      {answer.number}")
-        report.lines += ["", *_listing(sheet)]
+        report.lines += ["", *_binding_table(sheet)]
     report.data |= {
         "number": answer.number,
         "index": answer.index,
@@ -79,7 +84,7 @@
     async def run(system: System, options: argparse.Namespace) -> Report:
         number = options.number
         if number is None:
-            answer = await _fetch(system)
+            answer = await _fetch_sheet(system)
             if is_failure(answer):
                 return report_failure(answer, reads_only=True)
             number = answer.number + 1
@@ -99,7 +104,7 @@
                     "the outcome"
                 )
             return report
-        report = _accepted(answer)
+        report = _report_accepted(answer)
         if options.wait:
             await _wait_in_force(system, answer.index, options.wait, report)
         return report
@@ -107,7 +112,7 @@
     return run
 
 
-def _accepted(answer: SheetAnswer) -> Report:
+def _report_accepted(answer: SheetAnswer) -> Report:
     again = " (again)" if answer.repeated else ""
     return Report(
         ExitCode.OK,
@@ -127,24 +132,24 @@
     """Wait until every entry host has applied the index."""
     deadline = clock.now() + seconds
     while True:
-        late = await _late_hosts(system, index)
-        if late == []:
+        lagging = await _lagging_hosts(system, index)
+        if lagging == []:
             report.data["late_hosts"] = []
             report.lines.append("in force on every entry host")
             return
         if clock.now() >= deadline:
             break
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     report.code = ExitCode.REFUSED
-    if late is None:
+    if lagging is None:
         report.errors.append("no control host lists the entry hosts")
         return
-    report.data["late_hosts"] = late
-    report.errors += [f"not in force on {name}" for name in late]
+    report.data["late_hosts"] = lagging
+    report.errors += [f"not in force on {name}" for name in lagging]
 
 
-async def _late_hosts(system: System, index: int) -> list[str] | None:
-    answers = await ask_entry_hosts(system)
+async def _lagging_hosts(system: System, index: int) -> list[str] | None:
+    answers = await query_entry_hosts(system)
     if is_failure(answers):
         return None
     return [
@@ -156,7 +161,7 @@
 
 def _compare_in_force(new: Sheet):
     async def run(system: System, _options: argparse.Namespace) -> Report:
-        answer = await _fetch(system)
+        answer = await _fetch_sheet(system)
         if is_failure(answer):
             return report_failure(answer, reads_only=True)
         old = make_sheet(answer.services, answer.workspaces)
@@ -165,20 +170,20 @@
     return run
 
 
-async def _fetch(system: System) -> SheetAnswer | Failure:
+async def _fetch_sheet(system: System) -> SheetAnswer | Failure:
     return await system.leader.call(
         "GET", SHEET_PATH, SheetAnswer, timeout_s=system.timeout_s
     )
 
 
-def _load(path: str) -> Sheet | Report:
+def _load_sheet(path: str) -> Sheet | Report:
     content = read_file(path)
     if is_failure(content):
         return report_failure(content)
-    return _parse(path, content)
+    return _parse_sheet(path, content)
 
 
-def _parse(path: str, content: bytes) -> Sheet | Report:
+def _parse_sheet(path: str, content: bytes) -> Sheet | Report:
     sheet, defects = check_sheet(content)
     if sheet is not None:
         return sheet
@@ -209,7 +214,7 @@
     )
 
 
-def _listing(sheet: Sheet) -> list[str]:
+def _binding_table(sheet: Sheet) -> list[str]:
     rows = [
         (
             workspace.name,
@@ -223,7 +228,7 @@
         for workspace in sheet.workspaces
         for binding in workspace.bindings
     ]
-    return table(
+    return format_table(
         (
             "workspace",
             "service",
--- a/chivescale/cli/_status.py
+++ b/chivescale/cli/_status.py
@@ -1,4 +1,4 @@
-"""State of the whole system."""
+"""Command that shows the status of the whole system."""
 
 import argparse
 import asyncio
@@ -6,7 +6,12 @@
 import msgspec
 
 from chivescale.cli._health import find_problems
-from chivescale.cli._report import ExitCode, Report, report_failure, table
+from chivescale.cli._report import (
+    ExitCode,
+    Report,
+    format_table,
+    report_failure,
+)
 from chivescale.cli._system import System
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.messages import (
@@ -17,13 +22,13 @@
     WatchReply,
 )
 
-# A host that does not answer must not hold up the whole picture.
-ASK_TIMEOUT_S = 1.5
-MAX_PARALLEL = 64
+# An unresponsive host must not delay the whole status.
+QUERY_TIMEOUT_S = 1.5
+MAX_CONCURRENT_QUERIES = 64
 
 
 class EntryAnswer(msgspec.Struct, frozen=True):
-    """What this command shows of an entry host's status."""
+    """Part of the status of an entry host that the command shows."""
 
     index: int
     sheet: int = 0
@@ -33,8 +38,8 @@
     transactions: int = 0
 
 
-class Picture(msgspec.Struct):
-    """Answers of every process at about one time."""
+class SystemSnapshot(msgspec.Struct):
+    """Status of all processes, queried at about the same time."""
 
     state: WatchReply
     control: list[tuple[str, Status | Failure]]
@@ -43,80 +48,82 @@
 
 
 async def show_status(system: System, options: argparse.Namespace) -> Report:
-    """Show hosts, services, endpoints and workspaces, and what is wrong."""
-    picture = await _look(system, options.service)
-    if is_failure(picture):
-        return report_failure(picture, reads_only=True)
-    problems = find_problems(picture)
+    """Show hosts, services, endpoints, workspaces and problems."""
+    snapshot = await _take_snapshot(system, options.service)
+    if is_failure(snapshot):
+        return report_failure(snapshot, reads_only=True)
+    problems = find_problems(snapshot)
     lines = [
-        *_control_table(picture),
+        *_control_table(snapshot),
         "",
-        *_host_table(picture),
+        *_host_table(snapshot),
         "",
-        *_service_table(picture),
+        *_service_table(snapshot),
         "",
-        *_endpoint_table(picture),
+        *_endpoint_table(snapshot),
         "",
-        *_workspace_table(picture),
+        *_workspace_table(snapshot),
         "",
     ]
     lines += [f"problem: {text}" for text in problems] or ["healthy"]
     return Report(
         ExitCode.REFUSED if problems else ExitCode.OK,
-        _as_data(picture, problems),
+        _to_json_data(snapshot, problems),
         lines,
     )
 
 
-async def ask_entry_hosts(
+async def query_entry_hosts(
     system: System,
 ) -> list[tuple[HostRecord, EntryAnswer | Failure]] | Failure:
-    """Ask every known entry host for its status."""
-    control = await _ask_control(system)
+    """Query the status of every known entry host."""
+    control = await _query_control_hosts(system)
     state = await _read_state(system, control)
     if is_failure(state):
         return state
-    return await _ask_hosts(system, state)
+    return await _query_entry_hosts(system, state)
 
 
-async def _look(system: System, service: str | None) -> Picture | Failure:
-    control = await _ask_control(system)
+async def _take_snapshot(
+    system: System, service: str | None
+) -> SystemSnapshot | Failure:
+    control = await _query_control_hosts(system)
     state = await _read_state(system, control)
     if is_failure(state):
         return state
     if service is not None:
-        state = _only(state, service)
+        state = _filter_by_service(state, service)
         if not state.services:
             reason = f"no service {service}"
             return Failure(ErrorKind.SERVICE_NOT_ALLOWED, reason)
     hosts, endpoints = await asyncio.gather(
-        _ask_hosts(system, state), _ask_endpoints(system, state)
+        _query_entry_hosts(system, state), _query_endpoints(system, state)
     )
-    return Picture(state, control, hosts, endpoints)
+    return SystemSnapshot(state, control, hosts, endpoints)
 
 
-async def _ask_control(
+async def _query_control_hosts(
     system: System,
 ) -> list[tuple[str, Status | Failure]]:
     addresses = list(system.access.control)
-    answers = await _ask_all(system, addresses, "/v1/status", Status)
+    answers = await _query_all(system, addresses, "/v1/status", Status)
     known = list(zip(addresses, answers, strict=True))
-    # One address given by hand is enough to find the other hosts.
-    found = {
+    # A single known address is enough to discover the other hosts.
+    discovered = {
         member.address
         for _, answer in known
         if not is_failure(answer)
         for member in answer.members
     }
-    more = sorted(found - set(addresses))
-    answers = await _ask_all(system, more, "/v1/status", Status)
+    more = sorted(discovered - set(addresses))
+    answers = await _query_all(system, more, "/v1/status", Status)
     return known + list(zip(more, answers, strict=True))
 
 
 async def _read_state(
     system: System, control: list[tuple[str, Status | Failure]]
 ) -> WatchReply | Failure:
-    """Return the newest state of the reachable control hosts."""
+    """Return the latest state among the reachable control hosts."""
     reachable = [
         (answer.index, address)
         for address, answer in control
@@ -129,19 +136,19 @@
             "GET",
             "/v1/watch?after=0&wait_ms=0",
             WatchReply,
-            timeout_s=ASK_TIMEOUT_S,
+            timeout_s=QUERY_TIMEOUT_S,
         )
         if not is_failure(answer):
             return answer
         failure = answer
     for _, answer in control:
-        # A wrong secret is no network problem and has its own message.
+        # A wrong secret is reported as such, not as a network problem.
         if is_failure(answer) and answer.kind is ErrorKind.SIGNATURE_INVALID:
             return answer
     return failure
 
 
-def _only(state: WatchReply, service: str) -> WatchReply:
+def _filter_by_service(state: WatchReply, service: str) -> WatchReply:
     return msgspec.structs.replace(
         state,
         services=tuple(
@@ -158,37 +165,39 @@
     )
 
 
-async def _ask_hosts(system: System, state: WatchReply):
+async def _query_entry_hosts(system: System, state: WatchReply):
     hosts = sorted(state.hosts, key=lambda item: item.host)
     addresses = [item.api_address for item in hosts]
-    answers = await _ask_all(system, addresses, "/v1/status", EntryAnswer)
+    answers = await _query_all(system, addresses, "/v1/status", EntryAnswer)
     return list(zip(hosts, answers, strict=True))
 
 
-async def _ask_endpoints(system: System, state: WatchReply):
+async def _query_endpoints(system: System, state: WatchReply):
     endpoints = sorted(
         state.endpoints, key=lambda item: (item.service, item.endpoint)
     )
     addresses = [item.admin_address for item in endpoints]
-    answers = await _ask_all(system, addresses, "/v1/position", EndpointStatus)
+    answers = await _query_all(
+        system, addresses, "/v1/position", EndpointStatus
+    )
     return list(zip(endpoints, answers, strict=True))
 
 
-async def _ask_all(
+async def _query_all(
     system: System, addresses: list[str], path: str, reply_type
 ) -> list:
-    gate = asyncio.Semaphore(MAX_PARALLEL)
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
-    async def ask(address: str):
-        async with gate:
+    async def query(address: str):
+        async with semaphore:
             return await system.client.call(
-                address, "GET", path, reply_type, timeout_s=ASK_TIMEOUT_S
+                address, "GET", path, reply_type, timeout_s=QUERY_TIMEOUT_S
             )
 
-    return await asyncio.gather(*map(ask, addresses))
+    return await asyncio.gather(*map(query, addresses))
 
 
-def _control_table(picture: Picture) -> list[str]:
+def _control_table(snapshot: SystemSnapshot) -> list[str]:
     rows = [
         (address, "-", "unreachable", "-", "-", "-")
         if is_failure(answer)
@@ -200,13 +209,13 @@
             answer.index,
             answer.sheet,
         )
-        for address, answer in picture.control
+        for address, answer in snapshot.control
     ]
     header = ("control host", "name", "role", "term", "index", "sheet")
-    return table(header, rows)
+    return format_table(header, rows)
 
 
-def _host_table(picture: Picture) -> list[str]:
+def _host_table(snapshot: SystemSnapshot) -> list[str]:
     rows = [
         (
             host.host,
@@ -224,7 +233,7 @@
                 )
             ),
         )
-        for host, answer in picture.hosts
+        for host, answer in snapshot.hosts
     ]
     header = (
         "entry host",
@@ -236,7 +245,7 @@
         "callers",
         "transactions",
     )
-    return table(header, rows)
+    return format_table(header, rows)
 
 
 def _host_state(host: HostRecord, answer: EntryAnswer | Failure) -> str:
@@ -247,7 +256,7 @@
     return "ready" if answer.ready else "not ready"
 
 
-def _service_table(picture: Picture) -> list[str]:
+def _service_table(snapshot: SystemSnapshot) -> list[str]:
     rows = [
         (
             item.service,
@@ -257,15 +266,15 @@
             item.group_size,
         )
         for item in sorted(
-            picture.state.services, key=lambda item: item.service
+            snapshot.state.services, key=lambda item: item.service
         )
     ]
-    return table(("service", "term", "primary", "voters", "size"), rows)
+    return format_table(("service", "term", "primary", "voters", "size"), rows)
 
 
-def _endpoint_table(picture: Picture) -> list[str]:
+def _endpoint_table(snapshot: SystemSnapshot) -> list[str]:
     rows = []
-    for record, answer in picture.endpoints:
+    for record, answer in snapshot.endpoints:
         where = (record.service, record.endpoint, record.zone)
         if is_failure(answer):
             rows.append((*where, "unreachable", "-", "-", "-", "-", "-"))
@@ -277,7 +286,7 @@
                 answer.role,
                 answer.promised_term,
                 f"{answer.last.term}:{answer.last.position}",
-                lag_entries(picture, answer),
+                lag_entries(snapshot, answer),
                 answer.primary_contact_ms,
                 "yes" if leaving else "no",
             )
@@ -293,20 +302,20 @@
         "contact_ms",
         "leaving",
     )
-    return table(header, rows)
+    return format_table(header, rows)
 
 
-def lag_entries(picture: Picture, status: EndpointStatus) -> int:
-    """Return how many log entries an endpoint is behind its group."""
+def lag_entries(snapshot: SystemSnapshot, status: EndpointStatus) -> int:
+    """Return the replication lag of an endpoint, in log entries."""
     newest = max(
         answer.last
-        for record, answer in picture.endpoints
+        for record, answer in snapshot.endpoints
         if not is_failure(answer) and record.service == status.service
     )
     return max(0, newest.position - status.last.position)
 
 
-def _workspace_table(picture: Picture) -> list[str]:
+def _workspace_table(snapshot: SystemSnapshot) -> list[str]:
     rows = [
         (
             item.name,
@@ -316,34 +325,34 @@
             f"{item.max_rate:g}",
         )
         for item in sorted(
-            picture.state.workspaces, key=lambda item: item.name
+            snapshot.state.workspaces, key=lambda item: item.name
         )
     ]
     header = ("workspace", "services", "connections", "concurrent", "rate")
-    return table(header, rows)
+    return format_table(header, rows)
 
 
-def _as_data(picture: Picture, problems: list[str]) -> dict:
-    state = picture.state
+def _to_json_data(snapshot: SystemSnapshot, problems: list[str]) -> dict:
+    state = snapshot.state
     return {
         "problems": problems,
         "index": state.index,
         "authoritative": state.authoritative,
         "sheet": state.sheet,
         "control": [
-            {"address": address, **_answer(answer)}
-            for address, answer in picture.control
+            {"address": address, **_status_or_error(answer)}
+            for address, answer in snapshot.control
         ],
         "hosts": [
-            {"record": record, **_answer(answer)}
-            for record, answer in picture.hosts
+            {"record": record, **_status_or_error(answer)}
+            for record, answer in snapshot.hosts
         ],
         "services": state.services,
         "endpoints": [
-            {"record": record, **_answer(answer)}
-            for record, answer in picture.endpoints
+            {"record": record, **_status_or_error(answer)}
+            for record, answer in snapshot.endpoints
         ],
-        # Hashes are as good as secrets and stay out of status output.
+        # Secret hashes are as sensitive as the secrets and are omitted.
         "workspaces": [
             msgspec.structs.replace(item, secret_hash="")
             for item in state.workspaces
@@ -351,7 +360,7 @@
     }
 
 
-def _answer(answer) -> dict:
+def _status_or_error(answer) -> dict:
     if is_failure(answer):
         return {"error": f"{answer.kind.value}: {answer.reason}"}
     return {"status": answer}
--- a/chivescale/cli/_system.py
+++ b/chivescale/cli/_system.py
@@ -1,4 +1,4 @@
-"""Access of a command to a running system."""
+"""Connection of a command to a running system."""
 
 import argparse
 import collections.abc
@@ -22,7 +22,7 @@
 
 
 class Access(msgspec.Struct):
-    """Where the system is and how to sign requests to it."""
+    """Addresses and credentials of a system."""
 
     control: tuple[str, ...]
     secret: bytes
@@ -31,7 +31,7 @@
 
 
 class System:
-    """A running system as commands see it."""
+    """Clients for a running system."""
 
     def __init__(self, access: Access):
         self.access = access
@@ -67,25 +67,25 @@
         type=positive_seconds,
         default=DEFAULT_TIMEOUT_S,
         metavar="S",
-        help="seconds until a command gives up (default %(default)g)",
+        help="time-out of a command in seconds (default %(default)g)",
     )
 
 
 def positive_seconds(text: str) -> float:
-    """Read a duration of the command line, in seconds."""
+    """Parse a command-line duration in seconds."""
     value = float(text)
-    # Written so that not-a-number is refused.
+    # This form of the comparison also rejects NaN.
     if not 0 < value <= 3600:
         raise argparse.ArgumentTypeError("expected more than 0 to 3600")
     return value
 
 
 def read_access(options: argparse.Namespace) -> Access | Failure:
-    """Return the access that the options describe."""
+    """Build the access data from the command-line options."""
     control = tuple(options.control)
     for address in control:
         if parse_address(address) is None:
-            reason = f"--control: {address!a} is no ip:port"
+            reason = f"--control: {address!a} is not an ip:port"
             return Failure(ErrorKind.SETTINGS_INVALID, reason)
     secret_file, tls = options.secret_file, TlsSettings()
     if options.settings:
@@ -108,7 +108,7 @@
 async def run_with_system(
     command: Command, options: argparse.Namespace
 ) -> Report:
-    """Run a command that needs a running system."""
+    """Run a command against a running system."""
     access = read_access(options)
     if is_failure(access):
         return report_failure(access)
--- a/chivescale/cli/tests/cli.feature
+++ b/chivescale/cli/tests/cli.feature
@@ -1,7 +1,7 @@
 Feature: Operator's command line
-  Guards against an exit code or message that tells an operator the wrong
-  thing, and against a sheet that is applied twice or left in doubt when its
-  answer is lost.
+  Guards against an exit code or message that misleads an operator, and
+  against a sheet that is applied twice or whose outcome stays unknown when
+  its response is lost.
 
   Scenario Outline: Exit codes without a system
     Given a folder with the usual files
@@ -25,7 +25,7 @@
       | sheet apply good.csv {access}             | 2    |                       |
       | sheet apply good.csv --number 1 {access}  | 3    | unreachable           |
       | status {access}                           | 3    | unreachable           |
-      | status --control localhost:1 --secret-file secret | 2 | is no ip:port    |
+      | status --control localhost:1 --secret-file secret | 2 | is not an ip:port |
       | status --control 127.0.0.1:1 --secret-file short | 2 | 5 bytes, expected 16 |
       | status --settings none.toml               | 2    | none.toml: No such file |
       | status {access} --timeout nan             | 2    |                       |
@@ -50,7 +50,7 @@
       | secret\r\n   | 0    | 14e65567abdb5135d0cfd9a70b3032c179a49ee7 |
       | \n           | 2    | expected a secret                        |
 
-  Scenario: The hash logs in where the server computes its own
+  Scenario: The hash equals the one that the MySQL server computes
     Then the hash is that of the server's mysql_native_password
 
   Scenario Outline: A sheet is applied through any control host
@@ -78,7 +78,7 @@
     When the operator runs "sheet apply good.csv --next {control}"
     Then the exit code is 0 and "sheet 6 accepted" is printed
 
-  Scenario: A data folder gives its sheet back
+  Scenario: The sheet can be restored from a data folder
     Given a data folder with a snapshot and later entries
     When the operator runs "data check folder"
     Then the exit code is 0 and "last_index      3" is printed
--- a/chivescale/cli/tests/steps/cli_steps.py
+++ b/chivescale/cli/tests/steps/cli_steps.py
@@ -76,7 +76,7 @@
     ):
         try:
             context.code = cli.main(arguments)
-        except SystemExit as end:  # argparse ends on wrong usage
+        except SystemExit as end:  # raised by argparse on wrong usage
             context.code = end.code
     context.output = output.getvalue()
     context.printed = context.output + errors.getvalue()
@@ -116,8 +116,8 @@
 @given("control hosts of which {leader:d} leads and the operator knows {n:d}")
 def control_hosts(context, leader, n):
     usual_files(context)
-    # Each try must time out quickly for this test; the loop is the same.
-    patch = mock.patch.object(_leader, "TRY_TIMEOUT_S", 0.25)
+    # Shortens the time-out per attempt; the retry loop is unchanged.
+    patch = mock.patch.object(_leader, "ATTEMPT_TIMEOUT_S", 0.25)
     patch.start()
     context.add_cleanup(patch.stop)
     context.stub = ControlStub(SECRET, leader)
@@ -134,17 +134,17 @@
 
 @given("the leader loses its first answer")
 def loses_first(context):
-    context.stub.answers_to_lose = 1
+    context.stub.responses_to_drop = 1
 
 
 @given("the leader is deposed during the upload")
 def deposed(context):
-    context.stub.doubts = 1
+    context.stub.unknown_outcomes = 1
 
 
 @given("the leader loses every answer")
 def loses_every(context):
-    context.stub.answers_to_lose = 1_000_000
+    context.stub.responses_to_drop = 1_000_000
 
 
 @given("the leader has another sheet of number {number:d}")
--- a/chivescale/cli/tests/steps/control_stub.py
+++ b/chivescale/cli/tests/steps/control_stub.py
@@ -1,4 +1,4 @@
-"""Control hosts that answer the operator's requests without agreement."""
+"""Stub control hosts that answer requests without running consensus."""
 
 import asyncio
 import threading
@@ -8,7 +8,7 @@
 from chivescale.sheet import digest, parse_sheet
 from chivescale.transport import Route, Server
 
-LOST_S = 5.0
+LOST_RESPONSE_DELAY_S = 5.0
 
 
 class ControlStub:
@@ -16,19 +16,19 @@
 
     Attributes
     ----------
-    answers_to_lose : int
-        Uploads that take effect without an answer.
-    doubts : int
-        Uploads that take effect and are answered with outcome_unknown.
+    responses_to_drop : int
+        Number of uploads that take effect but get no response.
+    unknown_outcomes : int
+        Number of uploads that take effect but return outcome_unknown.
     accepted : int
-        Sheets taken, without repetitions.
+        Number of accepted sheets, without repeated uploads.
     """
 
     def __init__(self, secret, leader):
         self.secret = secret
         self.leader = leader
-        self.answers_to_lose = 0
-        self.doubts = 0
+        self.responses_to_drop = 0
+        self.unknown_outcomes = 0
         self.accepted = 0
         self.answer = SheetAnswer(0, "", 0)
         self.addresses = []
@@ -67,12 +67,12 @@
             if number != self.leader:
                 return self._not_leader()
             answer = self.upload(request.body.number, request.body.content)
-            if self.doubts > 0:
-                self.doubts -= 1
+            if self.unknown_outcomes > 0:
+                self.unknown_outcomes -= 1
                 return Failure(ErrorKind.OUTCOME_UNKNOWN, "deposed")
-            if self.answers_to_lose > 0:
-                self.answers_to_lose -= 1
-                await asyncio.sleep(LOST_S)
+            if self.responses_to_drop > 0:
+                self.responses_to_drop -= 1
+                await asyncio.sleep(LOST_RESPONSE_DELAY_S)
             return answer
 
         async def show(request):
@@ -91,7 +91,7 @@
         return Failure(ErrorKind.NOT_LEADER, "not leader", redirect=address)
 
     def upload(self, number, content):
-        """Apply the rule of sheet numbers."""
+        """Accept or reject a sheet by its number, as the leader does."""
         sheet = parse_sheet(content)
         if is_failure(sheet):
             return sheet
