--- a/chivescale/catalog/__init__.py
+++ b/chivescale/catalog/__init__.py
@@ -7,7 +7,7 @@
     ServiceOptions,
 )
 from chivescale.catalog._state import CatalogState, StoreResult
-from chivescale.catalog._validate import check_catalog
+from chivescale.catalog._validate import validate_catalog
 
 __all__ = [
     "Catalog",
@@ -16,5 +16,5 @@
     "Route",
     "ServiceOptions",
     "StoreResult",
-    "check_catalog",
+    "validate_catalog",
 ]
--- a/chivescale/catalog/_validate.py
+++ b/chivescale/catalog/_validate.py
@@ -4,7 +4,7 @@
 from chivescale.errors import ErrorKind, Failure
 
 
-def check_catalog(catalog: Catalog) -> Failure | None:
+def validate_catalog(catalog: Catalog) -> Failure | None:
     """Check the constraints that field types do not express.
 
     Parameters
--- a/chivescale/catalog/tests/steps/catalog_steps.py
+++ b/chivescale/catalog/tests/steps/catalog_steps.py
@@ -9,7 +9,7 @@
     Consistency,
     Route,
     ServiceOptions,
-    check_catalog,
+    validate_catalog,
 )
 
 ROUTE = Route("r1", "mill", "/", "ledger", Consistency.PRIMARY, 800, 120.0, 1)
@@ -52,12 +52,12 @@
 
 @then("it is valid")
 def is_valid(context):
-    assert check_catalog(context.catalog) is None
+    assert validate_catalog(context.catalog) is None
 
 
 @then("it is rejected: {reason}")
 def is_rejected(context, reason):
-    failure = check_catalog(context.catalog)
+    failure = validate_catalog(context.catalog)
     assert failure is not None and reason in failure.reason, failure
 
 
