--- a/benchmarks/capacity/_watch.py
+++ b/benchmarks/capacity/_watch.py
@@ -142,7 +142,7 @@
 
 
 async def _leading(thread, host):
-    return None if host.leadership is not None else host.not_leader()
+    return None if host.leadership is not None else host.not_leader_failure()
 
 
 def measure():
--- a/chivescale/control/_host.py
+++ b/chivescale/control/_host.py
@@ -183,7 +183,7 @@
 
     # Access to the state.
 
-    def not_leader(self) -> Failure:
+    def not_leader_failure(self) -> Failure:
         """Return the failure for a request that requires the leader."""
         if self.agreement.failure is not None:
             return self.agreement.failure
--- a/chivescale/control/_routes.py
+++ b/chivescale/control/_routes.py
@@ -46,7 +46,7 @@
 
         async def handle(request: Request):
             if host.leadership is None or not host.agreement.is_leader:
-                return host.not_leader()
+                return host.not_leader_failure()
             return await handler(host, request)
 
         return handle
