--- a/chivescale/control/_host.py
+++ b/chivescale/control/_host.py
@@ -191,7 +191,7 @@
         reason = f"{self.settings.host.name} is not the control leader"
         return Failure(ErrorKind.NOT_LEADER, reason, redirect=address)
 
-    def authoritative(self) -> bool:
+    def is_authoritative(self) -> bool:
         """Return whether this host is in contact with a quorum."""
         machine = self.agreement.machine
         if machine is None or self.agreement.failure is not None:
@@ -212,8 +212,8 @@
                 break
         if after > self.state.index:
             # The caller's copy is newer than the state of this host.
-            return WatchReply(self.state.index, self.authoritative())
-        return self.state.changes_since(after, self.authoritative())
+            return WatchReply(self.state.index, self.is_authoritative())
+        return self.state.changes_since(after, self.is_authoritative())
 
     async def _wait_for_change(self, timeout_s: float) -> bool:
         waiter = asyncio.get_running_loop().create_future()
--- a/chivescale/control/tests/steps/control_steps.py
+++ b/chivescale/control/tests/steps/control_steps.py
@@ -211,7 +211,7 @@
 @then("the remaining one serves the state as not authoritative")
 def check_not_authoritative(context):
     host = context.system.control_hosts["c3"]
-    run(context, context.system.wait_for(lambda: not host.authoritative()))
+    run(context, context.system.wait_for(lambda: not host.is_authoritative()))
     address = context.system.addresses[2]
     reply = request(context, address, "/v1/watch?after=0", WatchReply)
     assert not reply.authoritative and reply.services, reply
