--- a/chivescale/agreement/_machine.py
+++ b/chivescale/agreement/_machine.py
@@ -302,7 +302,7 @@
     def reject(self, request_id: int, kind: ErrorKind, reason: str) -> None:
         """Reject a request, which had no effect."""
         redirect = self.leader_address if kind is ErrorKind.NOT_LEADER else ""
-        failure = Failure(kind, reason, redirect=redirect)
+        failure = Failure(kind, reason, leader_address=redirect)
         self.emit(Rejected(request_id, failure))
 
     def header_to(self, name: str, incarnation: str) -> Header:
--- a/chivescale/agreement/_pending.py
+++ b/chivescale/agreement/_pending.py
@@ -85,7 +85,7 @@
             # never be committed.
             reason = "a later leader discarded the command"
             failure = Failure(
-                ErrorKind.NOT_LEADER, reason, redirect=leader_address
+                ErrorKind.NOT_LEADER, reason, leader_address=leader_address
             )
             set_results([pending.future], failure)
 
--- a/chivescale/agreement/tests/steps/host_steps.py
+++ b/chivescale/agreement/tests/steps/host_steps.py
@@ -219,7 +219,7 @@
     found = _run(context, follower.host.propose(b"x", deadline))
     assert found.kind is ErrorKind.NOT_LEADER, found
     address = {m.name: m.address for m in group.settings}[leader.name]
-    assert found.redirect == address
+    assert found.leader_address == address
 
 
 @when("every open connection between members becomes unresponsive")
--- a/chivescale/cli/_leader.py
+++ b/chivescale/cli/_leader.py
@@ -103,6 +103,6 @@
             if not is_failure(answer) or answer.kind not in _TRY_NEXT:
                 return answer, in_doubt
             in_doubt = in_doubt or answer.may_have_run
-            if answer.redirect:
-                waiting.insert(0, answer.redirect)
+            if answer.leader_address:
+                waiting.insert(0, answer.leader_address)
         return answer, in_doubt
--- a/chivescale/cli/tests/steps/control_stub.py
+++ b/chivescale/cli/tests/steps/control_stub.py
@@ -88,7 +88,9 @@
     def _not_leader(self):
         known = self.leader <= len(self.addresses)
         address = self.addresses[self.leader - 1] if known else ""
-        return Failure(ErrorKind.NOT_LEADER, "not leader", redirect=address)
+        return Failure(
+            ErrorKind.NOT_LEADER, "not leader", leader_address=address
+        )
 
     def upload(self, number, content):
         """Apply the rule of sheet numbers."""
--- a/chivescale/control/_host.py
+++ b/chivescale/control/_host.py
@@ -189,7 +189,7 @@
             return self.agreement.failure
         address = self.agreement.leader_address
         reason = f"{self.settings.host.name} is not the control leader"
-        return Failure(ErrorKind.NOT_LEADER, reason, redirect=address)
+        return Failure(ErrorKind.NOT_LEADER, reason, leader_address=address)
 
     def is_authoritative(self) -> bool:
         """Return whether this host is in contact with a quorum."""
--- a/chivescale/control/tests/steps/control_steps.py
+++ b/chivescale/control/tests/steps/control_steps.py
@@ -108,7 +108,7 @@
         if other != address:
             answer = request(context, other, "/v1/sheet", SheetAnswer)
             assert answer.kind is ErrorKind.NOT_LEADER, answer
-            assert answer.redirect == address, answer
+            assert answer.leader_address == address, answer
             status = request(context, other, "/v1/status", Status)
             assert (status.role, status.leader) == ("follower", address)
     status = request(context, address, "/v1/status", Status)
--- a/chivescale/coordinator/_host.py
+++ b/chivescale/coordinator/_host.py
@@ -309,7 +309,7 @@
             return HttpResponse(404)
         answer = await handler(request.body)
         if is_failure(answer):
-            body = ErrorBody(answer.kind, answer.reason, answer.redirect)
+            body = ErrorBody(answer.kind, answer.reason, answer.leader_address)
             status = KIND_TABLE[answer.kind].http_status
             return HttpResponse(status, encode(body))
         return HttpResponse(200, encode(answer))
--- a/chivescale/entry/_heartbeat.py
+++ b/chivescale/entry/_heartbeat.py
@@ -54,12 +54,12 @@
             if not is_failure(answer):
                 self.leader = address
                 return answer
-            if answer.kind is ErrorKind.NOT_LEADER and answer.redirect:
+            if answer.kind is ErrorKind.NOT_LEADER and answer.leader_address:
                 # Each host is redirected to at most once, so that two hosts
                 # that redirect to each other cannot cause a loop.
-                if answer.redirect in addresses:
-                    addresses.remove(answer.redirect)
-                    addresses.insert(0, answer.redirect)
+                if answer.leader_address in addresses:
+                    addresses.remove(answer.leader_address)
+                    addresses.insert(0, answer.leader_address)
             elif answer.kind not in _TRY_NEXT_HOST_KINDS:
                 return answer
         return answer
--- a/chivescale/errors/_failure.py
+++ b/chivescale/errors/_failure.py
@@ -26,7 +26,7 @@
     sqlstate : str, optional
         SQLSTATE reported by the endpoint if `kind` is
         ``STATEMENT_FAILED``; empty otherwise.
-    redirect : str, optional
+    leader_address : str, optional
         Address of the leader if `kind` is ``NOT_LEADER``; empty if unknown.
 
     Examples
@@ -41,7 +41,7 @@
     reason: str
     errno: int = 0
     sqlstate: str = ""
-    redirect: str = ""
+    leader_address: str = ""
 
     @property
     def may_have_run(self) -> bool:
--- a/chivescale/httpio/_client.py
+++ b/chivescale/httpio/_client.py
@@ -64,7 +64,7 @@
             kind = ErrorKind(named.kind)
         except ValueError:
             return Failure(ErrorKind.INTERNAL, f"{named.kind}: {named.reason}")
-        return Failure(kind, named.reason, redirect=named.leader_address)
+        return Failure(kind, named.reason, leader_address=named.leader_address)
 
     async def send(
         self,
--- a/chivescale/transport/_client.py
+++ b/chivescale/transport/_client.py
@@ -199,4 +199,4 @@
         kind = ErrorKind(body.kind)
     except ValueError:
         return Failure(ErrorKind.INTERNAL, f"{body.kind}: {body.reason}")
-    return Failure(kind, body.reason, redirect=body.leader_address)
+    return Failure(kind, body.reason, leader_address=body.leader_address)
--- a/chivescale/transport/_server.py
+++ b/chivescale/transport/_server.py
@@ -204,7 +204,9 @@
 
 def reply_failure(failure: Failure) -> web.Response:
     """Return the HTTP answer for a failure."""
-    body = ErrorBody(failure.kind.value, failure.reason, failure.redirect)
+    body = ErrorBody(
+        failure.kind.value, failure.reason, failure.leader_address
+    )
     return web.Response(
         status=KIND_TABLE[failure.kind].http_status,
         body=encode(body),
--- a/features/faults/steps/control_steps.py
+++ b/features/faults/steps/control_steps.py
@@ -76,9 +76,9 @@
         answer = system.ask(
             address, "/v1/sheet", SheetAnswer, body, timeout_s=5.0
         )
-        if not is_failure(answer) or not answer.redirect:
+        if not is_failure(answer) or not answer.leader_address:
             return answer
-        address = answer.redirect
+        address = answer.leader_address
     return answer
 
 
