--- a/chivescale/errors/_failure.py
+++ b/chivescale/errors/_failure.py
@@ -49,9 +49,9 @@
         return KIND_TABLE[self.kind].may_have_run
 
     @property
-    def may_repeat(self) -> bool:
+    def retryable(self) -> bool:
         """Whether the unchanged request may be retried."""
-        return KIND_TABLE[self.kind].may_repeat
+        return KIND_TABLE[self.kind].retryable
 
 
 def is_failure(value: object) -> typing.TypeGuard[Failure]:
--- a/chivescale/errors/_kinds.py
+++ b/chivescale/errors/_kinds.py
@@ -69,7 +69,7 @@
         HTTP status code between the processes of the system.
     may_have_run : bool
         False only if the request is proven to have had no effect.
-    may_repeat : bool
+    retryable : bool
         Whether retrying the unchanged request is safe and can succeed.
     """
 
@@ -77,7 +77,7 @@
     sqlstate: str
     http_status: int
     may_have_run: bool
-    may_repeat: bool
+    retryable: bool
 
 
 def _row(errno, sqlstate, http_status, *, may_have_run=False, retry=False):
--- a/chivescale/errors/tests/errors.feature
+++ b/chivescale/errors/tests/errors.feature
@@ -7,7 +7,7 @@
 
   Scenario Outline: Effect and retry semantics of a failure
     When a request fails with <kind>
-    Then the failure reports may_have_run <ran> and may_repeat <repeat>
+    Then the failure reports may_have_run <ran> and retryable <repeat>
 
     Examples:
       | kind                 | ran | repeat |
--- a/chivescale/errors/tests/steps/error_steps.py
+++ b/chivescale/errors/tests/steps/error_steps.py
@@ -16,14 +16,14 @@
     context.failure = Failure(ErrorKind(kind), "test")
 
 
-@then("the failure reports may_have_run {ran} and may_repeat {repeat}")
+@then("the failure reports may_have_run {ran} and retryable {repeat}")
 def check_retry_semantics(context, ran, repeat):
     assert context.failure.may_have_run == (ran == "yes")
-    assert context.failure.may_repeat == (repeat == "yes")
+    assert context.failure.retryable == (repeat == "yes")
 
 
 @then("no kind that may have run may be repeated")
 def no_retry_after_possible_effect(context):
     rows = KIND_TABLE.items()
-    wrong = [kind for kind, row in rows if row.may_have_run and row.may_repeat]
+    wrong = [kind for kind, row in rows if row.may_have_run and row.retryable]
     assert not wrong, wrong
