--- a/chivescale/coordinator/_distributor.py
+++ b/chivescale/coordinator/_distributor.py
@@ -7,8 +7,8 @@
 from chivescale.coordinator._messages import Gossip
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.messages import (
-    Done,
-    EndpointNews,
+    Empty,
+    EndpointUpdate,
     WatchAnswer,
     WatchRequest,
 )
@@ -176,7 +176,7 @@
                 address,
                 "POST",
                 "/v1/gossip",
-                Done,
+                Empty,
                 gossip,
                 timeout_s=GOSSIP_TIMEOUT_S,
             )
@@ -218,6 +218,6 @@
                 self._send_gossip(address, gossip)
 
 
-def _endpoint_news(entry: EndpointEntry, time: float) -> EndpointNews:
+def _endpoint_news(entry: EndpointEntry, time: float) -> EndpointUpdate:
     since = entry.primary_since
-    return EndpointNews(entry.heartbeat, time - since if since else -1.0)
+    return EndpointUpdate(entry.heartbeat, time - since if since else -1.0)
--- a/chivescale/coordinator/_host.py
+++ b/chivescale/coordinator/_host.py
@@ -31,9 +31,9 @@
 from chivescale.errors import KIND_TABLE, ErrorKind, Failure, is_failure
 from chivescale.httpio import HttpClient, HttpRequest, HttpResponse
 from chivescale.messages import (
-    Done,
+    Empty,
     ErrorBody,
-    OpinionReport,
+    ReachabilityReport,
     WatchRequest,
     decode,
     encode,
@@ -245,7 +245,7 @@
             answer = await self._read()
         else:
             answer = await self._call_leader(
-                "/v1/read", DocumentAnswer, Done()
+                "/v1/read", DocumentAnswer, Empty()
             )
         if is_failure(answer):
             return answer
@@ -331,21 +331,21 @@
         if is_failure(gossip):
             return gossip
         self.distributor.merge_gossip(gossip)
-        return Done()
+        return Empty()
 
     async def _on_callers(self, body: bytes):
         callers = decode(body, Callers)
         if is_failure(callers):
             return callers
         self.membership.record_join_requests(callers.members)
-        return Done()
+        return Empty()
 
     async def _on_opinions(self, body: bytes):
-        report = decode(body, OpinionReport)
+        report = decode(body, ReachabilityReport)
         if is_failure(report):
             return report
         self.promoter.record_opinions(report)
-        return Done()
+        return Empty()
 
     async def _on_store(self, body: bytes):
         order = decode(body, StoreOrder)
--- a/chivescale/coordinator/_membership.py
+++ b/chivescale/coordinator/_membership.py
@@ -6,7 +6,7 @@
 from chivescale.clock import now
 from chivescale.coordinator._messages import Callers
 from chivescale.errors import ErrorKind, is_failure
-from chivescale.messages import Done
+from chivescale.messages import Empty
 from chivescale.telemetry import log_event
 
 CHECK_INTERVAL_S = 0.25
@@ -114,7 +114,7 @@
             agreement.leader_address,
             "POST",
             "/v1/callers",
-            Done,
+            Empty,
             Callers(tuple(seen.values())),
         )
         if is_failure(answer):
--- a/chivescale/coordinator/_promoter.py
+++ b/chivescale/coordinator/_promoter.py
@@ -8,7 +8,7 @@
 from chivescale.dialect import EndpointDialect, EndpointState
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.link import Link, open_link
-from chivescale.messages import OpinionReport
+from chivescale.messages import ReachabilityReport
 from chivescale.promotion import (
     Candidate,
     OrderOutcome,
@@ -90,7 +90,7 @@
         self.no_primary_since.clear()
         self.host.distributor.share_suspects(())
 
-    def record_opinions(self, report: OpinionReport) -> None:
+    def record_opinions(self, report: ReachabilityReport) -> None:
         """Record whether an entry host reaches the suspected endpoints."""
         for watched in self.watched.values():
             reachable = report.reachable.get(watched.endpoint)
--- a/chivescale/httpio/tests/steps/httpio_steps.py
+++ b/chivescale/httpio/tests/steps/httpio_steps.py
@@ -12,7 +12,7 @@
     HttpResponse,
     HttpServer,
 )
-from chivescale.messages import Done, ErrorBody, encode
+from chivescale.messages import Empty, ErrorBody, encode
 
 ORDINARY = b"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
 INPUTS = {
@@ -91,7 +91,7 @@
     async def handler(request: HttpRequest) -> HttpResponse:
         match behaves:
             case "answers with a message":
-                return HttpResponse(200, encode(Done()))
+                return HttpResponse(200, encode(Empty()))
             case 'answers with the failure "no_quorum"':
                 return HttpResponse(503, encode(ErrorBody("no_quorum", "r")))
             case "answers with an unknown failure":
@@ -114,7 +114,7 @@
         if context.behaves != "does not listen":
             await server.start(address)
         call = asyncio.ensure_future(
-            client.call(address, "POST", "/x", Done, Done(), timeout_s=0.3)
+            client.call(address, "POST", "/x", Empty, Empty(), timeout_s=0.3)
         )
         if context.behaves == "closes without an answer":
             await asyncio.sleep(0.1)
@@ -130,7 +130,7 @@
 def ends_as(context, kind):
     outcome = context.outcome
     if kind == "success":
-        assert outcome == Done(), outcome
+        assert outcome == Empty(), outcome
     else:
         assert is_failure(outcome), outcome
         assert outcome.kind is ErrorKind(kind), outcome
--- a/chivescale/messages/_watch.py
+++ b/chivescale/messages/_watch.py
@@ -5,7 +5,7 @@
 from chivescale.registry import EndpointBeat
 
 
-class EndpointNews(msgspec.Struct, frozen=True):
+class EndpointUpdate(msgspec.Struct, frozen=True):
     """Latest heartbeat of an endpoint, as sent by a coordinator.
 
     Attributes
@@ -80,7 +80,7 @@
         Values for the next request.
     catalog : bytes
         Compressed `Catalog`; empty if the requested version is current.
-    endpoints : tuple of EndpointNews
+    endpoints : tuple of EndpointUpdate
         Endpoints changed since the requested revision.
     members : dict of str to str
         Availability zone of each known coordinator, by address.
@@ -100,7 +100,7 @@
     boot: str
     revision: int
     catalog: bytes
-    endpoints: tuple[EndpointNews, ...]
+    endpoints: tuple[EndpointUpdate, ...]
     members: dict[str, str]
     leader: str
     age_s: float
@@ -109,12 +109,12 @@
     suspects: tuple[str, ...]
 
 
-class OpinionReport(msgspec.Struct, frozen=True):
+class ReachabilityReport(msgspec.Struct, frozen=True):
     """Reachability of suspected endpoints from one entry host."""
 
     host: str
     reachable: dict[str, bool]
 
 
-class Done(msgspec.Struct, frozen=True):
+class Empty(msgspec.Struct, frozen=True):
     """Empty message: a request without data or a plain acknowledgement."""
--- a/chivescale/relay/_coordinator_watcher.py
+++ b/chivescale/relay/_coordinator_watcher.py
@@ -8,9 +8,9 @@
 from chivescale.errors import ErrorKind, is_failure
 from chivescale.link import open_link
 from chivescale.messages import (
-    Done,
+    Empty,
     EntryHostRecord,
-    OpinionReport,
+    ReachabilityReport,
     WatchAnswer,
     WatchRequest,
     decode,
@@ -208,12 +208,12 @@
         }
         if not reachable:
             return
-        report = OpinionReport(self.host.settings.name, reachable)
+        report = ReachabilityReport(self.host.settings.name, reachable)
         response = await self.host.http_client.call(
             self.leader,
             "POST",
             "/v1/opinions",
-            Done,
+            Empty,
             report,
             timeout_s=REACHABILITY_TIMEOUT_S * 2,
         )
--- a/chivescale/relay/_host.py
+++ b/chivescale/relay/_host.py
@@ -11,7 +11,7 @@
 from chivescale.errors import ErrorKind, Failure, is_failure
 from chivescale.gateway import select_gateways
 from chivescale.httpio import HttpClient
-from chivescale.messages import EndpointNews, EntryHostRecord
+from chivescale.messages import EndpointUpdate, EntryHostRecord
 from chivescale.relay._coordinator_watcher import CoordinatorWatcher
 from chivescale.relay._endpoint import Endpoint, Service
 from chivescale.relay._executor import Executor
@@ -288,7 +288,7 @@
             self.services[name] = service
         return service
 
-    def apply_endpoint_update(self, update: EndpointNews) -> None:
+    def apply_endpoint_update(self, update: EndpointUpdate) -> None:
         """Apply an update of an endpoint received from a coordinator."""
         heartbeat = update.beat
         known = self.by_id.get(heartbeat.endpoint)
