--- a/benchmarks/capacity/_entry.py
+++ b/benchmarks/capacity/_entry.py
@@ -198,7 +198,9 @@
         def round_(machine=machine, numbers=numbers, count=count):
             asked = []
             for _ in range(count):
-                asked += machine.step(decisions.Join(next(numbers), 1e9), 1.0)
+                asked += machine.step(
+                    decisions.ReadArrived(next(numbers), 1e9), 1.0
+                )
             while machine.rounds:
                 number = next(iter(machine.rounds))
                 for status in replicas:
@@ -220,7 +222,9 @@
             last = Position(7, 0)
             for _ in range(count):
                 last = Position(7, next(positions))
-                waits.step(decisions.Wait(next(numbers), last, 1e9), 1.0)
+                waits.step(
+                    decisions.WriteAccepted(next(numbers), last, 1e9), 1.0
+                )
             for status in (records.status(0), *replicas):
                 held = msgspec.structs.replace(status, last=last)
                 event = decisions.PositionReceived(status.endpoint, held)
--- a/chivescale/pipeline/_primary.py
+++ b/chivescale/pipeline/_primary.py
@@ -11,7 +11,7 @@
 from chivescale.pipeline._call import Answer, Call
 from chivescale.pipeline._gate import EndpointGate, run_statement
 from chivescale.retry import Attempt, Request, backoff_s, may_resend
-from chivescale.session import Confirmed, ProvedAbsent
+from chivescale.session import Confirmed, WriteAbsent
 
 # Time that a replaced primary is given to deliver an answer that is already
 # in transit, before its connection is closed.
@@ -248,7 +248,7 @@
     if isinstance(outcome, Confirmed):
         call.state.position.write_confirmed(position)
         return result
-    if isinstance(outcome, ProvedAbsent):
+    if isinstance(outcome, WriteAbsent):
         return Failure(
             ErrorKind.DID_NOT_RUN,
             "the primary was replaced before the write was replicated",
--- a/chivescale/pipeline/_service.py
+++ b/chivescale/pipeline/_service.py
@@ -99,7 +99,7 @@
         Concurrent calls share a round where possible.
         """
         waiter_id, future = self._add_waiter()
-        self._step_barriers(session.Join(waiter_id, deadline))
+        self._step_barriers(session.ReadArrived(waiter_id, deadline))
         return await self._wait_for(waiter_id, future)
 
     async def confirm(self, position: Position, deadline: float):
@@ -107,10 +107,12 @@
 
         Returns
         -------
-        Confirmed, ProvedAbsent or Unknown
+        Confirmed, WriteAbsent or OutcomeUnknown
         """
         waiter_id, future = self._add_waiter()
-        self._step_confirmations(session.Wait(waiter_id, position, deadline))
+        self._step_confirmations(
+            session.WriteAccepted(waiter_id, position, deadline)
+        )
         return await self._wait_for(waiter_id, future)
 
     async def check_quorum(self, deadline: float) -> Failure | None:
@@ -212,7 +214,7 @@
                 case session.Confirmed():
                     self.quorum_at = now
                     self._complete(effect.write_id, effect)
-                case session.ProvedAbsent() | session.Unknown():
+                case session.WriteAbsent() | session.OutcomeUnknown():
                     self._complete(effect.write_id, effect)
         self._schedule(
             "confirm", self.confirmations.wake_at, self._step_confirmations
--- a/chivescale/session/_barrier_events.py
+++ b/chivescale/session/_barrier_events.py
@@ -6,7 +6,7 @@
 from chivescale.messages import EndpointStatus, Position
 
 
-class Join(msgspec.Struct, frozen=True):
+class ReadArrived(msgspec.Struct, frozen=True):
     """Event: a read that needs a barrier arrived."""
 
     read_id: int
--- a/chivescale/session/_barriers.py
+++ b/chivescale/session/_barriers.py
@@ -7,7 +7,7 @@
 from chivescale.session._barrier_events import (
     BarrierFailed,
     BarrierReady,
-    Join,
+    ReadArrived,
     StartRound,
     StatusFailed,
     StatusReceived,
@@ -104,7 +104,7 @@
 
         Parameters
         ----------
-        event : Join, StatusReceived, StatusFailed, TermChanged or Tick
+        event : ReadArrived, StatusReceived, StatusFailed, TermChanged or Tick
             Event to process.
         now : float
             Monotonic time in seconds.
@@ -115,7 +115,7 @@
         """
         effects: list = []
         match event:
-            case Join():
+            case ReadArrived():
                 self.deadlines[event.read_id] = event.deadline
                 self.pending_reads.append(event.read_id)
             case StatusReceived():
--- a/chivescale/session/_confirmations.py
+++ b/chivescale/session/_confirmations.py
@@ -16,7 +16,7 @@
 POLL_TIMEOUT_S = 2.0
 
 
-class Wait(msgspec.Struct, frozen=True):
+class WriteAccepted(msgspec.Struct, frozen=True):
     """Event: a primary executed a write at `position`.
 
     A quorum of the voters of the term of `position` has to hold it.
@@ -87,13 +87,13 @@
     write_id: int
 
 
-class ProvedAbsent(msgspec.Struct, frozen=True):
+class WriteAbsent(msgspec.Struct, frozen=True):
     """Effect: the log of an established higher term lacks the write."""
 
     write_id: int
 
 
-class Unknown(msgspec.Struct, frozen=True):
+class OutcomeUnknown(msgspec.Struct, frozen=True):
     """Effect: the deadline passed before the outcome was proven."""
 
     write_id: int
@@ -132,7 +132,7 @@
         self.poll_timeout_s = poll_timeout_s
         self.record = record
         self.terms: dict[int, _TermState] = {}
-        self.waits: dict[int, Wait] = {}
+        self.waits: dict[int, WriteAccepted] = {}
         self.deadlines: list[tuple[float, int]] = []
         # When each endpoint may be polled again; while a poll is in progress,
         # the time at which it times out.
@@ -161,7 +161,7 @@
 
         Parameters
         ----------
-        event : Wait, PositionReceived, AskFailed, TermEstablished, \
+        event : WriteAccepted, PositionReceived, AskFailed, TermEstablished, \
 HistoryReceived, HistoryFailed or Tick
             Event to process.
         now : float
@@ -169,11 +169,12 @@
 
         Returns
         -------
-        list of AskPositions, AskHistory, Confirmed, ProvedAbsent, Unknown
+        list of AskPositions, AskHistory, Confirmed, WriteAbsent, \
+OutcomeUnknown
         """
         effects: list = []
         match event:
-            case Wait():
+            case WriteAccepted():
                 self._add_write(event)
             case PositionReceived():
                 self._record_position(event, now)
@@ -199,7 +200,7 @@
             self.terms[term] = _TermState({}, [], None)
         return self.terms[term]
 
-    def _add_write(self, wait: Wait) -> None:
+    def _add_write(self, wait: WriteAccepted) -> None:
         self.waits[wait.write_id] = wait
         entry = (wait.position.position, wait.write_id)
         heapq.heappush(self._term_state(wait.position.term).pending, entry)
@@ -291,7 +292,7 @@
                 continue
             del self.waits[wait.write_id]
             is_present = owning_term == wait.position.term
-            outcome = Confirmed if is_present else ProvedAbsent
+            outcome = Confirmed if is_present else WriteAbsent
             effects.append(outcome(wait.write_id))
 
     def _expire_writes(self, now: float, effects: list) -> None:
@@ -299,7 +300,7 @@
         while self.deadlines and self.deadlines[0][0] <= now:
             _, write_id = heapq.heappop(self.deadlines)
             if self.waits.pop(write_id, None) is not None:
-                effects.append(Unknown(write_id))
+                effects.append(OutcomeUnknown(write_id))
 
     def _drop_finished_deadlines(self) -> None:
         while self.deadlines and self.deadlines[0][1] not in self.waits:
--- a/chivescale/session/tests/random_run.py
+++ b/chivescale/session/tests/random_run.py
@@ -20,17 +20,17 @@
     Freshness,
     HistoryFailed,
     HistoryReceived,
-    Join,
+    OutcomeUnknown,
     PositionReceived,
-    ProvedAbsent,
+    ReadArrived,
     StartRound,
     StatusFailed,
     StatusReceived,
     TermChanged,
     TermEstablished,
     Tick,
-    Unknown,
-    Wait,
+    WriteAbsent,
+    WriteAccepted,
 )
 from chivescale.session.tests.group_model import Group
 
@@ -97,7 +97,7 @@
         if position is not None:
             self.pending_writes[number] = f"w{number}"
             deadline = self.now + self.rng.uniform(0.1, 3.0)
-            wait = Wait(number, position, deadline)
+            wait = WriteAccepted(number, position, deadline)
             self.messages.append(lambda: self.confirm(host, wait))
 
     def do_read(self):
@@ -105,7 +105,7 @@
         self.last_id += 1
         self.pending_reads[self.last_id] = len(self.confirmed_writes)
         deadline = self.now + self.rng.uniform(0.05, 3.0)
-        self.barrier(host, Join(self.last_id, deadline))
+        self.barrier(host, ReadArrived(self.last_id, deadline))
 
     def do_replicate(self):
         self.group.replicate()
@@ -218,9 +218,9 @@
                     self.check_confirmed(
                         self.pending_writes.pop(effect.write_id)
                     )
-                case ProvedAbsent():
+                case WriteAbsent():
                     self.check_absent(self.pending_writes.pop(effect.write_id))
-                case Unknown():
+                case OutcomeUnknown():
                     self.counts["unknown"] += 1
                     del self.pending_writes[effect.write_id]
 
--- a/chivescale/session/tests/steps/barrier_steps.py
+++ b/chivescale/session/tests/steps/barrier_steps.py
@@ -7,7 +7,7 @@
     BarrierFailed,
     BarrierReady,
     Barriers,
-    Join,
+    ReadArrived,
     StartRound,
     StatusFailed,
     StatusReceived,
@@ -67,7 +67,7 @@
 
 @when("read {read:d} joins and the answers {text} arrive")
 def join_read(context, read, text):
-    process_event(context, Join(read, context.now + 5.0))
+    process_event(context, ReadArrived(read, context.now + 5.0))
     receive_answers(context, context.barriers.last_round, text)
 
 
--- a/chivescale/session/tests/steps/confirmation_steps.py
+++ b/chivescale/session/tests/steps/confirmation_steps.py
@@ -10,15 +10,19 @@
     Confirmations,
     Confirmed,
     HistoryReceived,
+    OutcomeUnknown,
     PositionReceived,
-    ProvedAbsent,
     TermEstablished,
     Tick,
-    Unknown,
-    Wait,
+    WriteAbsent,
+    WriteAccepted,
 )
 
-OUTCOMES = {Confirmed: "confirmed", ProvedAbsent: "absent", Unknown: "unknown"}
+OUTCOMES = {
+    Confirmed: "confirmed",
+    WriteAbsent: "absent",
+    OutcomeUnknown: "unknown",
+}
 
 
 def make_record(term, primary, voters):
@@ -45,7 +49,9 @@
     term, position = write.split(".")
     context.writes += 1
     target = Position(int(term), int(position))
-    process_event(context, Wait(context.writes, target, context.now + 5.0))
+    process_event(
+        context, WriteAccepted(context.writes, target, context.now + 5.0)
+    )
     receive_positions(context, positions)
 
 
--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -32,7 +32,7 @@
 def confirm_write(positions: dict[str, int], write: Position) -> list:
     """Return the effects until a write at `write` is decided."""
     machine = session.Confirmations(RECORD)
-    effects = machine.step(session.Wait(1, write, deadline=5.0), 0.0)
+    effects = machine.step(session.WriteAccepted(1, write, deadline=5.0), 0.0)
     decided: list = []
     while effects:
         effect = effects.pop(0)
@@ -53,7 +53,7 @@
             VOTERS, RECORD.incarnations, RECORD.primary, RECORD.term
         )
     )
-    effects = machine.step(session.Join(1, deadline=1.0), 0.0)
+    effects = machine.step(session.ReadArrived(1, deadline=1.0), 0.0)
     while not isinstance(effects[0], session.BarrierReady):
         effect = effects.pop(0)
         for endpoint in effect.endpoints:
