--- a/chivescale/pipeline/_service.py
+++ b/chivescale/pipeline/_service.py
@@ -204,7 +204,7 @@
         now = clock.now()
         for effect in self.confirmations.step(event, now):
             match effect:
-                case session.AskPositions():
+                case session.PollPositions():
                     for endpoint in effect.endpoints:
                         self._spawn(
                             self._request_position(endpoint, effect.position)
@@ -263,7 +263,7 @@
             endpoint, path, POSITION_REQUEST_TIMEOUT_S
         )
         if status is None:
-            self._step_confirmations(session.AskFailed(endpoint))
+            self._step_confirmations(session.PollFailed(endpoint))
         else:
             self._step_confirmations(
                 session.PositionReceived(endpoint, status)
--- a/chivescale/session/__init__.py
+++ b/chivescale/session/__init__.py
@@ -17,14 +17,14 @@
 )
 from chivescale.session._barriers import Barriers
 from chivescale.session._confirmations import (
-    AskFailed,
     AskHistory,
-    AskPositions,
     Confirmations,
     Confirmed,
     HistoryFailed,
     HistoryReceived,
     OutcomeUnknown,
+    PollFailed,
+    PollPositions,
     PositionReceived,
     TermEstablished,
     WriteAbsent,
@@ -43,9 +43,7 @@
 
 __all__ = [
     "CREATE_REQUEST_TABLE",
-    "AskFailed",
     "AskHistory",
-    "AskPositions",
     "BarrierFailed",
     "BarrierReady",
     "Barriers",
@@ -55,6 +53,8 @@
     "HistoryFailed",
     "HistoryReceived",
     "OutcomeUnknown",
+    "PollFailed",
+    "PollPositions",
     "Position",
     "PositionReceived",
     "ReadArrived",
--- a/chivescale/session/_confirmations.py
+++ b/chivescale/session/_confirmations.py
@@ -32,18 +32,18 @@
 
     Attributes
     ----------
-    asked : bool
-        Whether it is the answer to `AskPositions`; false for a status that
+    polled : bool
+        Whether it is the answer to `PollPositions`; false for a status that
         was obtained in another way.
     """
 
     endpoint: str
     status: EndpointStatus
-    asked: bool = True
+    polled: bool = True
 
 
-class AskFailed(msgspec.Struct, frozen=True):
-    """Event: an endpoint of `AskPositions` did not answer."""
+class PollFailed(msgspec.Struct, frozen=True):
+    """Event: an endpoint of `PollPositions` did not answer."""
 
     endpoint: str
 
@@ -67,7 +67,7 @@
     endpoint: str
 
 
-class AskPositions(msgspec.Struct, frozen=True):
+class PollPositions(msgspec.Struct, frozen=True):
     """Effect: long-poll `endpoints` until they hold `position`."""
 
     endpoints: tuple[str, ...]
@@ -161,7 +161,7 @@
 
         Parameters
         ----------
-        event : WriteAccepted, PositionReceived, AskFailed, TermEstablished, \
+        event : WriteAccepted, PositionReceived, PollFailed, TermEstablished, \
 HistoryReceived, HistoryFailed or Tick
             Event to process.
         now : float
@@ -169,7 +169,7 @@
 
         Returns
         -------
-        list of AskPositions, AskHistory, Confirmed, WriteAbsent, \
+        list of PollPositions, AskHistory, Confirmed, WriteAbsent, \
 OutcomeUnknown
         """
         effects: list = []
@@ -179,7 +179,7 @@
             case PositionReceived():
                 self._record_position(event, now)
                 self._resolve_by_history(event.status, effects)
-            case AskFailed():
+            case PollFailed():
                 self.next_poll_at[event.endpoint] = now + self.retry_delay_s
             case TermEstablished():
                 self._handle_term(event.record)
@@ -216,7 +216,7 @@
                 progress = status.last.position > previous
                 if progress:
                     state.positions[event.endpoint] = status.last.position
-        if event.asked:
+        if event.polled:
             delay_s = 0.0 if progress else self.retry_delay_s
             self.next_poll_at[event.endpoint] = now + delay_s
 
@@ -335,7 +335,7 @@
                 by_position.setdefault(position, []).append(voter)
         for position, voters in sorted(by_position.items()):
             target = Position(self.record.term, position)
-            effects.append(AskPositions(tuple(voters), target))
+            effects.append(PollPositions(tuple(voters), target))
         if now >= self.next_history_at and self._has_writes_of_older_terms():
             self.next_history_at = now + self.poll_timeout_s
             effects.append(AskHistory(self.record.primary, self.record.term))
--- a/chivescale/session/tests/random_run.py
+++ b/chivescale/session/tests/random_run.py
@@ -9,9 +9,7 @@
 import sys
 
 from chivescale.session import (
-    AskFailed,
     AskHistory,
-    AskPositions,
     BarrierFailed,
     BarrierReady,
     Barriers,
@@ -21,6 +19,8 @@
     HistoryFailed,
     HistoryReceived,
     OutcomeUnknown,
+    PollFailed,
+    PollPositions,
     PositionReceived,
     ReadArrived,
     StartRound,
@@ -209,7 +209,7 @@
     def confirm(self, host, event):
         for effect in host.confirmations.step(event, self.now):
             match effect:
-                case AskPositions():
+                case PollPositions():
                     for name in effect.endpoints:
                         self.request_position(host, name)
                 case AskHistory():
@@ -229,7 +229,7 @@
             host,
             name,
             lambda status: self.confirm(host, PositionReceived(name, status)),
-            lambda: self.confirm(host, AskFailed(name)),
+            lambda: self.confirm(host, PollFailed(name)),
         )
 
     def request_history(self, host, name):
--- a/chivescale/session/tests/steps/confirmation_steps.py
+++ b/chivescale/session/tests/steps/confirmation_steps.py
@@ -6,11 +6,11 @@
 from chivescale.messages import Position, ServiceRecord, TermStart
 from chivescale.session import (
     AskHistory,
-    AskPositions,
     Confirmations,
     Confirmed,
     HistoryReceived,
     OutcomeUnknown,
+    PollPositions,
     PositionReceived,
     TermEstablished,
     Tick,
@@ -101,10 +101,10 @@
 
 @then("b and c were polled once for 2.10")
 def check_polled_once(context):
-    requested = [e for e in context.effects if type(e) is AskPositions]
-    assert requested == [AskPositions(("b", "c"), Position(2, 10))], requested
+    requested = [e for e in context.effects if type(e) is PollPositions]
+    assert requested == [PollPositions(("b", "c"), Position(2, 10))], requested
 
 
 @then("b is polled for 2.12")
 def check_next_poll(context):
-    assert context.effects[-1] == AskPositions(("b",), Position(2, 12))
+    assert context.effects[-1] == PollPositions(("b",), Position(2, 12))
--- a/examples/embedding.py
+++ b/examples/embedding.py
@@ -36,7 +36,7 @@
     decided: list = []
     while effects:
         effect = effects.pop(0)
-        if not isinstance(effect, session.AskPositions):
+        if not isinstance(effect, session.PollPositions):
             decided.append(effect)
             continue
         for endpoint in effect.endpoints:
