--- a/chivescale/pipeline/_service.py
+++ b/chivescale/pipeline/_service.py
@@ -209,7 +209,7 @@
                         self._spawn(
                             self._request_position(endpoint, effect.position)
                         )
-                case session.AskHistory():
+                case session.RequestTermStarts():
                     self._spawn(self._request_history(effect.endpoint))
                 case session.Confirmed():
                     self.quorum_at = now
@@ -274,9 +274,11 @@
             endpoint, "/v1/position", STATUS_REQUEST_TIMEOUT_S
         )
         if status is None:
-            self._step_confirmations(session.HistoryFailed(endpoint))
+            self._step_confirmations(session.TermStartsFailed(endpoint))
         else:
-            self._step_confirmations(session.HistoryReceived(endpoint, status))
+            self._step_confirmations(
+                session.TermStartsReceived(endpoint, status)
+            )
 
     async def _request_status(
         self,
--- a/chivescale/session/_confirmations.py
+++ b/chivescale/session/_confirmations.py
@@ -54,15 +54,15 @@
     record: ServiceRecord
 
 
-class HistoryReceived(msgspec.Struct, frozen=True):
-    """Event: answer to `AskHistory`, a status with its term starts."""
+class TermStartsReceived(msgspec.Struct, frozen=True):
+    """Event: answer to `RequestTermStarts`, a status with its term starts."""
 
     endpoint: str
     status: EndpointStatus
 
 
-class HistoryFailed(msgspec.Struct, frozen=True):
-    """Event: the endpoint of `AskHistory` did not answer."""
+class TermStartsFailed(msgspec.Struct, frozen=True):
+    """Event: the endpoint of `RequestTermStarts` did not answer."""
 
     endpoint: str
 
@@ -74,7 +74,7 @@
     position: Position
 
 
-class AskHistory(msgspec.Struct, frozen=True):
+class RequestTermStarts(msgspec.Struct, frozen=True):
     """Effect: request the term starts of the primary of established `term`."""
 
     endpoint: str
@@ -162,14 +162,14 @@
         Parameters
         ----------
         event : WriteAccepted, PositionReceived, PollFailed, TermEstablished, \
-HistoryReceived, HistoryFailed or Tick
+TermStartsReceived, TermStartsFailed or Tick
             Event to process.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
-        list of PollPositions, AskHistory, Confirmed, WriteAbsent, \
+        list of PollPositions, RequestTermStarts, Confirmed, WriteAbsent, \
 OutcomeUnknown
         """
         effects: list = []
@@ -183,10 +183,10 @@
                 self.next_poll_at[event.endpoint] = now + self.retry_delay_s
             case TermEstablished():
                 self._handle_term(event.record)
-            case HistoryReceived():
+            case TermStartsReceived():
                 self.next_history_at = now + self.retry_delay_s
                 self._resolve_by_history(event.status, effects)
-            case HistoryFailed():
+            case TermStartsFailed():
                 self.next_history_at = now + self.retry_delay_s
             case Tick():
                 pass
@@ -338,7 +338,9 @@
             effects.append(PollPositions(tuple(voters), target))
         if now >= self.next_history_at and self._has_writes_of_older_terms():
             self.next_history_at = now + self.poll_timeout_s
-            effects.append(AskHistory(self.record.primary, self.record.term))
+            effects.append(
+                RequestTermStarts(self.record.primary, self.record.term)
+            )
 
 
 def _is_voter(record: ServiceRecord, endpoint: str, incarnation: str) -> bool:
--- a/chivescale/session/tests/random_run.py
+++ b/chivescale/session/tests/random_run.py
@@ -9,25 +9,25 @@
 import sys
 
 from chivescale.session import (
-    AskHistory,
     BarrierFailed,
     BarrierReady,
     Barriers,
     Confirmations,
     Confirmed,
     Freshness,
-    HistoryFailed,
-    HistoryReceived,
     OutcomeUnknown,
     PollFailed,
     PollPositions,
     PositionReceived,
     ReadArrived,
+    RequestTermStarts,
     StartRound,
     StatusFailed,
     StatusReceived,
     TermChanged,
     TermEstablished,
+    TermStartsFailed,
+    TermStartsReceived,
     Tick,
     WriteAbsent,
     WriteAccepted,
@@ -212,7 +212,7 @@
                 case PollPositions():
                     for name in effect.endpoints:
                         self.request_position(host, name)
-                case AskHistory():
+                case RequestTermStarts():
                     self.request_history(host, effect.endpoint)
                 case Confirmed():
                     self.check_confirmed(
@@ -236,8 +236,10 @@
         self.request_status(
             host,
             name,
-            lambda status: self.confirm(host, HistoryReceived(name, status)),
-            lambda: self.confirm(host, HistoryFailed(name)),
+            lambda status: self.confirm(
+                host, TermStartsReceived(name, status)
+            ),
+            lambda: self.confirm(host, TermStartsFailed(name)),
         )
 
     def check_read(self, host, confirmed_count, ready):
--- a/chivescale/session/tests/steps/confirmation_steps.py
+++ b/chivescale/session/tests/steps/confirmation_steps.py
@@ -5,14 +5,14 @@
 
 from chivescale.messages import Position, ServiceRecord, TermStart
 from chivescale.session import (
-    AskHistory,
     Confirmations,
     Confirmed,
-    HistoryReceived,
     OutcomeUnknown,
     PollPositions,
     PositionReceived,
+    RequestTermStarts,
     TermEstablished,
+    TermStartsReceived,
     Tick,
     WriteAbsent,
     WriteAccepted,
@@ -74,7 +74,7 @@
     pairs = (each.split(":") for each in starts.split())
     term_starts = tuple(TermStart(int(term), int(at)) for term, at in pairs)
     status = make_status(name, 4, position, "1", term_starts)
-    process_event(context, HistoryReceived(name, status))
+    process_event(context, TermStartsReceived(name, status))
 
 
 @when("the deadline of the write passes")
@@ -95,7 +95,9 @@
 
 @then("the history of {name} is requested")
 def check_history_requested(context, name):
-    requested = [e.endpoint for e in context.effects if type(e) is AskHistory]
+    requested = [
+        e.endpoint for e in context.effects if type(e) is RequestTermStarts
+    ]
     assert requested == [name], requested
 
 
