--- a/chivescale/pipeline/_primary.py
+++ b/chivescale/pipeline/_primary.py
@@ -246,7 +246,7 @@
     """Return `result` once a quorum holds `position`."""
     outcome = await call.service.view.confirm(position, call.deadline)
     if isinstance(outcome, Confirmed):
-        call.state.position.write_confirmed(position)
+        call.state.position.record_write(position)
         return result
     if isinstance(outcome, WriteAbsent):
         return Failure(
--- a/chivescale/pipeline/_read.py
+++ b/chivescale/pipeline/_read.py
@@ -61,7 +61,7 @@
         return None
     token = parse_token(call.hints.token, call.session.service)
     if not is_failure(token):
-        call.state.position.use_token(token)
+        call.state.position.record_token(token)
     return token
 
 
@@ -131,7 +131,7 @@
     if not barrier_needed:
         need = Need(
             zone=call.environment.zone,
-            position=position.required(token),
+            position=position.required_position(token),
             max_age_s=max_age_s,
         )
         return _ReadPlan(need, 0, False)
@@ -140,7 +140,7 @@
     barrier_result = await call.service.view.barrier(barrier_deadline)
     if is_failure(barrier_result):
         return barrier_result
-    required = position.required(token)
+    required = position.required_position(token)
     needed = max(barrier_result.position, required or barrier_result.position)
     need = Need(zone=call.environment.zone, position=needed)
     return _ReadPlan(need, barrier_result.promised_term, True)
@@ -254,7 +254,7 @@
 def _record_barrier(call: Call, plan: _ReadPlan) -> None:
     position: Position | None = plan.need.position
     if plan.barrier and position is not None:
-        call.state.position.barrier_taken(position)
+        call.state.position.record_barrier(position)
 
 
 def _may_retry(call: Call, failure: Failure, attempt: int) -> bool:
--- a/chivescale/session/_position.py
+++ b/chivescale/session/_position.py
@@ -44,19 +44,19 @@
         self.has_token = False
         self.covers_earlier_writes = False
 
-    def use_token(self, token: Token) -> None:
+    def record_token(self, token: Token) -> None:
         """Record a token of this service that the caller presented."""
         self.has_token = True
         self._advance_to(token.position)
 
-    def write_confirmed(self, position: Position) -> None:
+    def record_write(self, position: Position) -> None:
         """Record a confirmed write of this connection."""
         # It follows in the log every write that was confirmed before it was
         # sent.
         self.covers_earlier_writes = True
         self._advance_to(position)
 
-    def barrier_taken(self, position: Position) -> None:
+    def record_barrier(self, position: Position) -> None:
         """Record the barrier that a read of this connection used."""
         self.covers_earlier_writes = True
         self._advance_to(position)
@@ -73,7 +73,7 @@
             self.scope, has_token or self.has_token, self.covers_earlier_writes
         )
 
-    def required(self, token: Token | None = None) -> Position | None:
+    def required_position(self, token: Token | None = None) -> Position | None:
         """Return the position that a read must include; None if unknown."""
         if token is None:
             return self.highest_seen
--- a/chivescale/session/tests/steps/session_steps.py
+++ b/chivescale/session/tests/steps/session_steps.py
@@ -67,18 +67,18 @@
         kind, position_text = event.split(":")
         position = parse_position(position_text)
         if kind == "write":
-            session.write_confirmed(position)
+            session.record_write(position)
         elif kind == "barrier":
-            session.barrier_taken(position)
+            session.record_barrier(position)
         else:
-            session.use_token(Token("ledger", position))
+            session.record_token(Token("ledger", position))
 
 
 @then("a barrier is needed: {needed}, and reads must include {position}")
 def check_barrier_needed(context, needed, position):
     expected = None if position == "none" else parse_position(position)
     assert context.session.needs_barrier() == (needed == "yes")
-    assert context.session.required() == expected
+    assert context.session.required_position() == expected
 
 
 @given("a freshness object with term {term:d} and primary a")
