--- a/chivescale/entry/_services.py
+++ b/chivescale/entry/_services.py
@@ -89,7 +89,7 @@
     ) -> None:
         for name in set(service.gates) - set(endpoints):
             service.gates.pop(name).close()
-            service.view.freshness.forget(name)
+            service.view.freshness.remove_endpoint(name)
         for name, record in endpoints.items():
             gate = service.gates.get(name)
             if gate is None or _needs_new_pool(gate.record, record):
--- a/chivescale/pipeline/_primary.py
+++ b/chivescale/pipeline/_primary.py
@@ -76,7 +76,7 @@
     if gate.leaving:
         reason = f"primary {record.primary} is leaving"
         return Failure(ErrorKind.NO_PRIMARY, reason)
-    if view.freshness.highest_promised > record.term:
+    if view.freshness.highest_promised_term > record.term:
         reason = f"primary {record.primary} is being replaced"
         return Failure(ErrorKind.NO_PRIMARY, reason)
     return gate
--- a/chivescale/pipeline/_read.py
+++ b/chivescale/pipeline/_read.py
@@ -187,7 +187,7 @@
         if same_incarnation
         else None,
         holds_position=same_incarnation
-        and (position is None or freshness.holds(name, position)),
+        and (position is None or freshness.holds_position(name, position)),
         promised_ok=same_incarnation
         and freshness.promised_ok(name, plan.promised_term),
         suspect=gate.suspect_until > now,
--- a/chivescale/pipeline/tests/steps/replaced_steps.py
+++ b/chivescale/pipeline/tests/steps/replaced_steps.py
@@ -44,7 +44,7 @@
 
     def __init__(self):
         self.record = types.SimpleNamespace(term=1, primary="e-1")
-        self.freshness = types.SimpleNamespace(highest_promised=1)
+        self.freshness = types.SimpleNamespace(highest_promised_term=1)
         self.changed = asyncio.Event()
 
     async def wait_for_update(self, until):
--- a/chivescale/session/_freshness.py
+++ b/chivescale/session/_freshness.py
@@ -47,7 +47,7 @@
         self.sent_at: list[float] = []
         self.positions: list[Position] = []
         self.endpoints: dict[str, _EndpointState] = {}
-        self.highest_promised = 0
+        self.highest_promised_term = 0
         self.record: ServiceRecord | None = None
 
     def term_changed(self, record: ServiceRecord) -> None:
@@ -59,7 +59,9 @@
         self, sent_at: float, position: Position, promised_term: int
     ) -> None:
         """Record that a barrier sent at `sent_at` returned `position`."""
-        self.highest_promised = max(self.highest_promised, promised_term)
+        self.highest_promised_term = max(
+            self.highest_promised_term, promised_term
+        )
         if self.sent_at and sent_at <= self.sent_at[-1]:
             # Rounds can finish out of order; a newer one is already recorded.
             return
@@ -120,8 +122,8 @@
             seconds. They order the answers of different incarnations: an
             answer from before a loss of data must not hide the loss.
         """
-        self.highest_promised = max(
-            self.highest_promised, status.promised_term
+        self.highest_promised_term = max(
+            self.highest_promised_term, status.promised_term
         )
         state = self.endpoints.get(endpoint)
         if state is None:
@@ -148,7 +150,7 @@
         state.promised_term = status.promised_term if is_newer else 0
         state.received_at = max(state.received_at, received_at)
 
-    def forget(self, endpoint: str) -> None:
+    def remove_endpoint(self, endpoint: str) -> None:
         """Discard the state of an endpoint that was removed."""
         self.endpoints.pop(endpoint, None)
 
@@ -172,14 +174,14 @@
         An endpoint that has not may hold entries that are being replaced.
         """
         state = self.endpoints.get(endpoint)
-        required_term = max(promised_term, self.highest_promised)
+        required_term = max(promised_term, self.highest_promised_term)
         if self.record is not None:
             required_term = max(required_term, self.record.term)
         if self._is_primary(endpoint) and self.record.term >= required_term:
             return True
         return state is not None and state.promised_term >= required_term
 
-    def holds(self, endpoint: str, position: Position) -> bool:
+    def holds_position(self, endpoint: str, position: Position) -> bool:
         """Return whether an endpoint is proven to hold `position`.
 
         By definition, the primary of the published term holds every position
@@ -233,7 +235,7 @@
             age = self.proven_age_s(name, now)
             if age is None or age > age_s:
                 continue
-            if position is None or self.holds(name, position):
+            if position is None or self.holds_position(name, position):
                 eligible.append(name)
         return eligible
 
--- a/chivescale/session/tests/random_run.py
+++ b/chivescale/session/tests/random_run.py
@@ -251,7 +251,7 @@
                 self.check_holds(
                     host, name, confirmed_count, "holder", voter=True
                 )
-            if host.freshness.holds(
+            if host.freshness.holds_position(
                 name, ready.position
             ) and host.freshness.promised_ok(name, ready.promised_term):
                 self.counts["served"] += 1
--- a/chivescale/session/tests/steps/session_steps.py
+++ b/chivescale/session/tests/steps/session_steps.py
@@ -115,7 +115,9 @@
 
 @then("{endpoint} holds {position}: {holds}")
 def check_holds(context, endpoint, position, holds):
-    found = context.freshness.holds(endpoint, parse_position(position))
+    found = context.freshness.holds_position(
+        endpoint, parse_position(position)
+    )
     assert found == (holds == "yes")
 
 
