--- a/chivescale/pipeline/_read.py
+++ b/chivescale/pipeline/_read.py
@@ -101,7 +101,7 @@
         and gate.suspect_until <= now
         and gate.lagging_until <= now
         and gate.in_use < gate.limit.limit
-        and view.freshness.promised_ok(
+        and view.freshness.has_promised_term(
             gate.record.endpoint, plan.promised_term
         )
     ]
@@ -188,8 +188,8 @@
         else None,
         holds_position=same_incarnation
         and (position is None or freshness.holds_position(name, position)),
-        promised_ok=same_incarnation
-        and freshness.promised_ok(name, plan.promised_term),
+        has_promised_term=same_incarnation
+        and freshness.has_promised_term(name, plan.promised_term),
         suspect=gate.suspect_until > now,
     )
 
--- a/chivescale/routing/_choose.py
+++ b/chivescale/routing/_choose.py
@@ -38,7 +38,7 @@
     holds_position : bool
         Whether it is proven to hold the position of the `Need`; true if the
         need has no position.
-    promised_ok : bool
+    has_promised_term : bool
         Whether it has promised the highest known term.
     suspect : bool
         Whether its last connection failed or stopped responding.
@@ -53,7 +53,7 @@
     latency_s: float = 0.0
     proven_age_s: float | None = None
     holds_position: bool = True
-    promised_ok: bool = True
+    has_promised_term: bool = True
     suspect: bool = False
 
 
@@ -152,7 +152,7 @@
     """Return why a candidate cannot serve a read; empty if it can."""
     if candidate.leaving:
         return "is leaving"
-    if not candidate.promised_ok:
+    if not candidate.has_promised_term:
         return "has not promised the current term"
     if need.position is not None and not candidate.holds_position:
         return "has not reached the position"
--- a/chivescale/routing/tests/steps/routing_steps.py
+++ b/chivescale/routing/tests/steps/routing_steps.py
@@ -27,7 +27,7 @@
     "full": {"in_use": 2},
     "over": {"in_use": 4},
     "behind": {"holds_position": False},
-    "promise": {"promised_ok": False},
+    "promise": {"has_promised_term": False},
     "suspect": {"suspect": True},
 }
 NEEDS = {
--- a/chivescale/session/_freshness.py
+++ b/chivescale/session/_freshness.py
@@ -168,7 +168,7 @@
         state = self.endpoints.get(endpoint)
         return state.incarnation if state else None
 
-    def promised_ok(self, endpoint: str, promised_term: int = 0) -> bool:
+    def has_promised_term(self, endpoint: str, promised_term: int = 0) -> bool:
         """Return whether an endpoint has promised the highest known term.
 
         An endpoint that has not may hold entries that are being replaced.
@@ -187,7 +187,7 @@
         By definition, the primary of the published term holds every position
         of that term and of lower terms.
         """
-        if not self.promised_ok(endpoint):
+        if not self.has_promised_term(endpoint):
             return False
         if self._is_primary(endpoint) and position.term <= self.record.term:
             return True
@@ -202,7 +202,7 @@
         float or None
             Upper bound of the age in seconds; None if there is none.
         """
-        if not self.sent_at or not self.promised_ok(endpoint):
+        if not self.sent_at or not self.has_promised_term(endpoint):
             return None
         last = self.position(endpoint)
         if self._is_primary(endpoint):
--- a/chivescale/session/tests/random_run.py
+++ b/chivescale/session/tests/random_run.py
@@ -253,7 +253,7 @@
                 )
             if host.freshness.holds_position(
                 name, ready.position
-            ) and host.freshness.promised_ok(name, ready.promised_term):
+            ) and host.freshness.has_promised_term(name, ready.promised_term):
                 self.counts["served"] += 1
                 self.check_holds(host, name, confirmed_count, "read")
 
