--- a/chivescale/pipeline/_dispatch.py
+++ b/chivescale/pipeline/_dispatch.py
@@ -19,7 +19,7 @@
 )
 from chivescale.pipeline._write import write
 from chivescale.routing import (
-    SessionFacts,
+    SessionState,
     StatementClass,
     local_answer,
     needs_session,
@@ -179,9 +179,9 @@
     return TYPE_LONGLONG if isinstance(value, int) else TYPE_VAR_STRING
 
 
-def _session_facts(call: Call) -> SessionFacts:
+def _session_facts(call: Call) -> SessionState:
     token = call.state.position.token()
-    return SessionFacts(
+    return SessionState(
         workspace=call.session.workspace,
         service=call.session.service,
         connection_id=call.session.connection_id,
--- a/chivescale/pipeline/_read.py
+++ b/chivescale/pipeline/_read.py
@@ -10,7 +10,7 @@
 from chivescale.pipeline._call import Answer, Call
 from chivescale.pipeline._gate import EndpointGate, run_statement
 from chivescale.retry import Attempt, Request, backoff_s, may_resend
-from chivescale.routing import Candidate, Need, choose_endpoint
+from chivescale.routing import Candidate, Requirements, choose_endpoint
 from chivescale.session import Token, parse_token
 
 MAX_ATTEMPTS = 6
@@ -27,7 +27,7 @@
 
     Attributes
     ----------
-    need : Need
+    need : Requirements
         Requirements for the selection of an endpoint.
     promised_term : int
         Highest promised term seen by the barrier; 0 without a barrier.
@@ -35,7 +35,7 @@
         Whether a barrier was taken.
     """
 
-    need: Need
+    need: Requirements
     promised_term: int
     barrier: bool
 
@@ -129,7 +129,7 @@
         or position.needs_barrier(token is not None)
     )
     if not barrier_needed:
-        need = Need(
+        need = Requirements(
             zone=call.environment.zone,
             position=position.required_position(token),
             max_age_s=max_age_s,
@@ -142,7 +142,7 @@
         return barrier_result
     required = position.required_position(token)
     needed = max(barrier_result.position, required or barrier_result.position)
-    need = Need(zone=call.environment.zone, position=needed)
+    need = Requirements(zone=call.environment.zone, position=needed)
     return _ReadPlan(need, barrier_result.promised_term, True)
 
 
--- a/chivescale/routing/__init__.py
+++ b/chivescale/routing/__init__.py
@@ -1,13 +1,13 @@
 """Statement classification, hints and endpoint selection."""
 
-from chivescale.routing._choose import Candidate, Need, choose_endpoint
+from chivescale.routing._choose import Candidate, Requirements, choose_endpoint
 from chivescale.routing._classify import (
     StatementClass,
     classify,
     needs_session,
 )
 from chivescale.routing._hints import Hints, parse_hints
-from chivescale.routing._local import LocalAnswer, SessionFacts, local_answer
+from chivescale.routing._local import LocalAnswer, SessionState, local_answer
 from chivescale.routing._set import parse_set
 from chivescale.routing._transaction import (
     TransactionModes,
@@ -19,8 +19,8 @@
     "Candidate",
     "Hints",
     "LocalAnswer",
-    "Need",
-    "SessionFacts",
+    "Requirements",
+    "SessionState",
     "StatementClass",
     "TransactionModes",
     "choose_endpoint",
--- a/chivescale/routing/_choose.py
+++ b/chivescale/routing/_choose.py
@@ -36,8 +36,8 @@
         Upper bound of the age of its data, from `Freshness`; None if there
         is no bound.
     holds_position : bool
-        Whether it is proven to hold the position of the `Need`; true if the
-        need has no position.
+        Whether it is proven to hold the position of the `Requirements`; true
+        if the need has no position.
     has_promised_term : bool
         Whether it has promised the highest known term.
     suspect : bool
@@ -57,7 +57,7 @@
     suspect: bool = False
 
 
-class Need(msgspec.Struct, frozen=True):
+class Requirements(msgspec.Struct, frozen=True):
     """Requirements of a statement on its endpoint.
 
     Attributes
@@ -80,7 +80,7 @@
 
 
 def choose_endpoint(
-    candidates: list[Candidate], need: Need, rng: random.Random
+    candidates: list[Candidate], need: Requirements, rng: random.Random
 ) -> str | Failure:
     """Select the endpoint for a statement.
 
@@ -93,7 +93,7 @@
     ----------
     candidates : list of Candidate
         Endpoints of the service.
-    need : Need
+    need : Requirements
         Requirements of the statement.
     rng : random.Random
         Random number generator.
@@ -144,11 +144,11 @@
     return primary.endpoint
 
 
-def _is_eligible(candidate: Candidate, need: Need) -> bool:
+def _is_eligible(candidate: Candidate, need: Requirements) -> bool:
     return not _rejection_reason(candidate, need)
 
 
-def _rejection_reason(candidate: Candidate, need: Need) -> str:
+def _rejection_reason(candidate: Candidate, need: Requirements) -> str:
     """Return why a candidate cannot serve a read; empty if it can."""
     if candidate.leaving:
         return "is leaving"
@@ -165,7 +165,9 @@
     return ""
 
 
-def _describe_rejections(candidates: list[Candidate], need: Need) -> str:
+def _describe_rejections(
+    candidates: list[Candidate], need: Requirements
+) -> str:
     if not candidates:
         return "no endpoint is known"
     return "; ".join(
--- a/chivescale/routing/_local.py
+++ b/chivescale/routing/_local.py
@@ -70,7 +70,7 @@
 _SHOW = re.compile(r"\s*show\s+(count\b|warnings|errors)", re.IGNORECASE)
 
 
-class SessionFacts(msgspec.Struct, frozen=True):
+class SessionState(msgspec.Struct, frozen=True):
     """State of a caller's connection.
 
     Attributes
@@ -103,14 +103,14 @@
     return _parse_columns(sql[:4096]) is not None
 
 
-def local_answer(sql: str, facts: SessionFacts) -> LocalAnswer | Failure:
+def local_answer(sql: str, facts: SessionState) -> LocalAnswer | Failure:
     """Return the result of a statement of class ``LOCAL``.
 
     Parameters
     ----------
     sql : str
         Statement.
-    facts : SessionFacts
+    facts : SessionState
         State of the caller's connection.
 
     Returns
@@ -120,7 +120,7 @@
 
     Examples
     --------
-    >>> local_answer("SELECT @@autocommit", SessionFacts(autocommit=False))
+    >>> local_answer("SELECT @@autocommit", SessionState(autocommit=False))
     LocalAnswer(columns=('@@autocommit',), rows=((0,),))
     """
     items = _parse_columns(sql)
@@ -176,7 +176,7 @@
     return (name, "session", "token")
 
 
-def _column_value(kind: str, key: str, facts: SessionFacts) -> object:
+def _column_value(kind: str, key: str, facts: SessionState) -> object:
     if key == "autocommit":
         return int(facts.autocommit)
     if kind == "variable":
--- a/chivescale/routing/tests/steps/routing_steps.py
+++ b/chivescale/routing/tests/steps/routing_steps.py
@@ -10,8 +10,8 @@
 from chivescale.messages import Position
 from chivescale.routing import (
     Candidate,
-    Need,
-    SessionFacts,
+    Requirements,
+    SessionState,
     choose_endpoint,
     classify,
     local_answer,
@@ -31,9 +31,11 @@
     "suspect": {"suspect": True},
 }
 NEEDS = {
-    "write": Need(write=True, zone="z1"),
-    "read": Need(zone="z1", position=Position(2, 5)),
-    "stale read": Need(zone="z1", position=Position(2, 5), max_age_s=0.5),
+    "write": Requirements(write=True, zone="z1"),
+    "read": Requirements(zone="z1", position=Position(2, 5)),
+    "stale read": Requirements(
+        zone="z1", position=Position(2, 5), max_age_s=0.5
+    ),
 }
 
 
@@ -81,7 +83,7 @@
 
 @then("the local answer to {sql} is {columns} with {row}")
 def check_local_answer(context, sql, columns, row):
-    facts = SessionFacts("w", "ledger", 9, False, "c1.x", 77)
+    facts = SessionState("w", "ledger", 9, False, "c1.x", 77)
     assert classify(sql).value == "local"
     answer = local_answer(sql, facts)
     assert (", ".join(answer.columns) or "nothing") == columns, answer
