--- a/chivescale/pipeline/_keyed.py
+++ b/chivescale/pipeline/_keyed.py
@@ -73,7 +73,7 @@
         if connection.in_transaction:
             connection.close()
         if not connection.usable:
-            primary.gate.pool.suspect_silence()
+            primary.gate.pool.retire_connections()
         primary.gate.pool.release(connection)
     if not is_failure(outcome):
         return await _confirm_commit(call, key, primary, outcome)
--- a/chivescale/pipeline/_primary.py
+++ b/chivescale/pipeline/_primary.py
@@ -173,7 +173,7 @@
     answered.
     """
     if not task.done() and gate.last_answer_at < started_at:
-        gate.pool.suspect_silence()
+        gate.pool.retire_connections()
 
 
 async def run_on_primary(call: Call, primary: Primary, sql: str) -> Answer:
--- a/chivescale/pipeline/_read.py
+++ b/chivescale/pipeline/_read.py
@@ -240,7 +240,7 @@
         await asyncio.wait({task}, timeout=silence_s)
         if not task.done() and _remaining_s(call) > silence_s:
             if call.environment.retries.try_retry():
-                gate.pool.suspect_silence()
+                gate.pool.retire_connections()
                 return Failure(
                     ErrorKind.TIMEOUT, "connection stopped responding"
                 )
--- a/chivescale/pipeline/_transaction.py
+++ b/chivescale/pipeline/_transaction.py
@@ -56,7 +56,7 @@
             _pin(call, primary)
             return answer
         if answer.kind is ErrorKind.TIMEOUT:
-            primary.gate.pool.suspect_silence()
+            primary.gate.pool.retire_connections()
         _discard(primary)
         # BEGIN has no effect, so it is safe to retry.
         retry = was_not_executed(answer) or answer.kind is ErrorKind.TIMEOUT
--- a/chivescale/pipeline/_write.py
+++ b/chivescale/pipeline/_write.py
@@ -50,7 +50,7 @@
         # The connection becomes unusable only if it stopped responding or the
         # primary is frozen. Both may affect the other connections as well.
         if not primary.connection.usable:
-            primary.gate.pool.suspect_silence()
+            primary.gate.pool.retire_connections()
         primary.gate.pool.release(primary.connection)
 
 
--- a/chivescale/pipeline/tests/steps/gate_steps.py
+++ b/chivescale/pipeline/tests/steps/gate_steps.py
@@ -81,7 +81,7 @@
 def idle_connections(context):
     context.closed = []
     pool = types.SimpleNamespace(
-        suspect_silence=lambda: context.closed.append(True)
+        retire_connections=lambda: context.closed.append(True)
     )
     context.gate = EndpointGate(RECORD, pool)
 
--- a/chivescale/pipeline/tests/steps/replaced_steps.py
+++ b/chivescale/pipeline/tests/steps/replaced_steps.py
@@ -89,7 +89,7 @@
     async def run():
         view = FakeView()
         pool = types.SimpleNamespace(
-            release=lambda _connection: None, suspect_silence=lambda: None
+            release=lambda _connection: None, retire_connections=lambda: None
         )
         connection = UnresponsiveConnection(context.statement)
         primary = Primary(EndpointGate(RECORD, pool), connection, 1)
--- a/chivescale/pool/_pool.py
+++ b/chivescale/pool/_pool.py
@@ -131,7 +131,7 @@
         if max(connections, state.MIN_CONNECTIONS) != self.state.limit:
             self._step(state.SetLimit(connections))
 
-    def suspect_silence(self) -> None:
+    def retire_connections(self) -> None:
         """Retire all open connections after the endpoint failed to respond.
 
         Idle connections are closed now, busy ones when they are released.
