--- a/benchmarks/capacity/_control.py
+++ b/benchmarks/capacity/_control.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity._clock import cpu_us, point
 from chivescale import membership
 from chivescale.control._leadership import Leadership
-from chivescale.limits import LeaseBook
+from chivescale.limits import LeaseManager
 from chivescale.messages import (
     Heartbeat,
     HeartbeatReply,
@@ -156,7 +156,7 @@
 
 
 def _lease_beat(names, sharers: int):
-    book = LeaseBook(3.0, started_at=0.0)
+    book = LeaseManager(3.0, started_at=0.0)
     budgets = dict.fromkeys(names, 35)
     held = tuple(Lease(name, 2) for name in names)
     turn = iter(range(1 << 60))
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -1,6 +1,6 @@
 """Scarce connections: leases by demand against an equal split.
 
-A simulation in virtual time drives `chivescale.limits.LeaseBook` with the
+A simulation in virtual time drives `chivescale.limits.LeaseManager` with the
 demand of 17 entry hosts for the 35 connections of one endpoint. Which hosts
 are busy changes every few seconds, since a load balancer spreads callers
 unevenly. One host crashes halfway.
@@ -15,7 +15,7 @@
 from benchmarks import plots
 from benchmarks.records import Recorder
 from benchmarks.stats import percentile
-from chivescale.limits import LeaseBook
+from chivescale.limits import LeaseManager
 from chivescale.messages import Lease
 
 HOSTS = 17
@@ -101,7 +101,7 @@
         # The same seed for both divisions: they meet the same requests.
         self.rng = random.Random(f"{seed}/{load}")
         self.holds = random.Random(f"{seed}/{load}/holds")
-        self.book = LeaseBook(LEASE_S)
+        self.book = LeaseManager(LEASE_S)
         self.hosts = {f"entry-{n + 1}": _Host() for n in range(HOSTS)}
         self.shares: dict[str, float] = {}
         self.events: list = []
--- a/chivescale/control/_leadership.py
+++ b/chivescale/control/_leadership.py
@@ -8,7 +8,7 @@
 from chivescale import clock, failover, membership
 from chivescale.control._requests import send_request
 from chivescale.errors import is_failure
-from chivescale.limits import LeaseBook
+from chivescale.limits import LeaseManager
 from chivescale.messages import (
     Batch,
     BeginTerm,
@@ -84,7 +84,7 @@
         self.hosts = membership.HostTable(now)
         self.endpoints = membership.EndpointTable(now)
         self.verdicts = failover.Verdicts()
-        self.leases = LeaseBook(LEASE_DURATION_S, started_at=now)
+        self.leases = LeaseManager(LEASE_DURATION_S, started_at=now)
         self.failovers: dict[str, failover.Failover] = {}
         self.connection_limits: dict[str, int] = {}
         self.watchers: dict[str, tuple[str, ...]] = {}
--- a/chivescale/entry/_host.py
+++ b/chivescale/entry/_host.py
@@ -13,7 +13,7 @@
 from chivescale.entry._services import Services
 from chivescale.entry._watch import StateWatch
 from chivescale.errors import ErrorKind, Failure, is_failure
-from chivescale.limits import HOST_LEASE_SHARE
+from chivescale.limits import HOST_LEASE_FRACTION
 from chivescale.messages import Heartbeat, HeartbeatReply, HostRecord
 from chivescale.pipeline import Environment
 from chivescale.retry import RetryBudget
@@ -207,7 +207,7 @@
     ) -> None:
         # The leader starts the lease after this host sent the heartbeat, so
         # the lease expires on this host first.
-        expires_at = sent_at + HOST_LEASE_SHARE * reply.lease_ms / 1000
+        expires_at = sent_at + HOST_LEASE_FRACTION * reply.lease_ms / 1000
         self.services.apply_leases(reply.leases, expires_at)
         self.watch.note_index(reply.index)
 
--- a/chivescale/limits/_leases.py
+++ b/chivescale/limits/_leases.py
@@ -8,7 +8,7 @@
 # Fraction of the lease time after which a host treats a lease as expired,
 # counted from the moment it sent the heartbeat. The margin covers clock rates
 # that differ by up to 1%.
-HOST_LEASE_SHARE = 0.98
+HOST_LEASE_FRACTION = 0.98
 
 
 class _HostLease(msgspec.Struct):
@@ -28,7 +28,7 @@
         self.grants = [grant for grant in self.grants if grant[0] > now]
 
 
-class LeaseBook:
+class LeaseManager:
     """Connection leases that the control leader grants in heartbeat replies.
 
     Invariant: the sum of the unexpired grants on an endpoint does not exceed
@@ -37,7 +37,7 @@
     Parameters
     ----------
     lease_s : float
-        Lease time in seconds. A host uses a lease for `HOST_LEASE_SHARE` of
+        Lease time in seconds. A host uses a lease for `HOST_LEASE_FRACTION` of
         this time after it sent the heartbeat, so the lease expires on the
         host before it expires on the leader.
     minimum : int
--- a/chivescale/limits/tests/random_limits.py
+++ b/chivescale/limits/tests/random_limits.py
@@ -2,7 +2,7 @@
 
 import random
 
-from chivescale.limits import HOST_LEASE_SHARE, FairQueue, LeaseBook
+from chivescale.limits import HOST_LEASE_FRACTION, FairQueue, LeaseManager
 from chivescale.messages import Lease
 
 LEASE_S = 3.0
@@ -52,12 +52,12 @@
     """Check the budget while replies get lost, hosts crash, leaders change."""
     rng = random.Random(seed)
     hosts = {f"h{number}": _Host() for number in range(5)}
-    leases = LeaseBook(LEASE_S, started_at=-LEASE_S)
+    leases = LeaseManager(LEASE_S, started_at=-LEASE_S)
     now, max_total, excess = 0.0, 0, 0
     for _ in range(steps):
         now += rng.choice((0.01, 0.1, 0.5))
         if rng.random() < 0.01:
-            leases = LeaseBook(LEASE_S, started_at=now)
+            leases = LeaseManager(LEASE_S, started_at=now)
             # Hosts without a lease may get their minimum beyond the budget.
             excess = sum(1 for each in hosts.values() if not each.held(now))
         name, host = rng.choice(list(hosts.items()))
@@ -76,7 +76,7 @@
         )
         if rng.random() < 0.8:
             host.lease = lease.connections
-            host.until = sent_at + LEASE_S * HOST_LEASE_SHARE
+            host.until = sent_at + LEASE_S * HOST_LEASE_FRACTION
         if now >= leases.started_at + 2 * LEASE_S:
             excess = 0
         total = sum(each.held(now) for each in hosts.values())
--- a/chivescale/limits/tests/steps/limit_steps.py
+++ b/chivescale/limits/tests/steps/limit_steps.py
@@ -5,7 +5,7 @@
 from chivescale.limits import (
     AdaptiveLimit,
     FairQueue,
-    LeaseBook,
+    LeaseManager,
     WorkspaceLimits,
 )
 from chivescale.limits.tests import random_limits
@@ -154,7 +154,7 @@
 
 @given("two hosts that want 20 of 20 connections")
 def start_two_hosts(context):
-    context.lease_book = LeaseBook(3.0, started_at=0.0)
+    context.lease_book = LeaseManager(3.0, started_at=0.0)
     for now in (10.0, 11.0, 12.0, 13.0, 14.0):
         grants = [
             send_heartbeat(context, host, 0, 20, now) for host in ("h1", "h2")
@@ -175,7 +175,7 @@
 
 @then("a new leader grants 7 to a host with 7 and 1 to a host with 0")
 def check_new_leader(context):
-    context.lease_book = LeaseBook(3.0, started_at=50.0)
+    context.lease_book = LeaseManager(3.0, started_at=50.0)
     assert send_heartbeat(context, "h1", 7, 20, 51.0) == 7
     assert send_heartbeat(context, "h2", 0, 20, 51.0) == 1
 
