--- a/chivescale/pipeline/_primary.py
+++ b/chivescale/pipeline/_primary.py
@@ -10,7 +10,7 @@
 from chivescale.mysql import ClientConnection, QueryResult
 from chivescale.pipeline._call import Answer, Call
 from chivescale.pipeline._gate import EndpointGate, run_statement
-from chivescale.retry import Attempt, Request, backoff_s, may_resend
+from chivescale.retry import FailedAttempt, RequestClass, backoff_s, may_resend
 from chivescale.session import Confirmed, WriteAbsent
 
 # Time that a replaced primary is given to deliver an answer that is already
@@ -278,10 +278,10 @@
 
 def was_not_executed(failure: Failure) -> bool:
     """Return whether a failed statement was certainly not executed."""
-    attempt = Attempt(
-        Request.WRITE,
+    attempt = FailedAttempt(
+        RequestClass.WRITE,
         failure.kind,
-        bytes_sent=failure.kind is ErrorKind.TIMEOUT,
+        request_sent=failure.kind is ErrorKind.TIMEOUT,
         deadline=float("inf"),
         errno=failure.errno,
     )
--- a/chivescale/pipeline/_read.py
+++ b/chivescale/pipeline/_read.py
@@ -9,7 +9,7 @@
 from chivescale.messages import Position
 from chivescale.pipeline._call import Answer, Call
 from chivescale.pipeline._gate import EndpointGate, run_statement
-from chivescale.retry import Attempt, Request, backoff_s, may_resend
+from chivescale.retry import FailedAttempt, RequestClass, backoff_s, may_resend
 from chivescale.routing import Candidate, Requirements, choose_endpoint
 from chivescale.session import Token, parse_token
 
@@ -264,10 +264,10 @@
         # Waiting for replication or a new term puts no load on the endpoints,
         # so this retry does not consume the retry budget.
         return True
-    failed = Attempt(
-        Request.READ,
+    failed = FailedAttempt(
+        RequestClass.READ,
         failure.kind,
-        bytes_sent=True,
+        request_sent=True,
         deadline=call.deadline,
         errno=failure.errno,
     )
--- a/chivescale/retry/_resend.py
+++ b/chivescale/retry/_resend.py
@@ -25,7 +25,7 @@
 REJECTED_ERRNOS = frozenset({1040, 1290, 1836})
 
 
-class Request(enum.Enum):
+class RequestClass(enum.Enum):
     """Class of a request, which decides whether it may be retried."""
 
     READ = "read"
@@ -33,17 +33,17 @@
     IN_TRANSACTION = "in_transaction"
 
 
-class Attempt(msgspec.Struct, frozen=True):
+class FailedAttempt(msgspec.Struct, frozen=True):
     """A failed attempt to execute a request.
 
     Attributes
     ----------
-    request : Request
+    request : RequestClass
         Class of the request. BEGIN and reads outside transactions are
         ``READ``; anything after BEGIN is ``IN_TRANSACTION``.
     kind : ErrorKind
         Kind of failure.
-    bytes_sent : bool
+    request_sent : bool
         Whether any byte of the request may have left this host.
     deadline : float
         Deadline of the request, in monotonic seconds.
@@ -54,15 +54,15 @@
         ``STATEMENT_FAILED``; otherwise 0.
     """
 
-    request: Request
+    request: RequestClass
     kind: ErrorKind
-    bytes_sent: bool
+    request_sent: bool
     deadline: float
     response_started: bool = False
     errno: int = 0
 
 
-def may_resend(attempt: Attempt, now: float) -> bool:
+def may_resend(attempt: FailedAttempt, now: float) -> bool:
     """Return whether a failed attempt may be retried.
 
     A write is retried only if it certainly never left this host or was
@@ -71,13 +71,13 @@
 
     Examples
     --------
-    >>> late = Attempt(Request.WRITE, ErrorKind.TIMEOUT, True, 10.0)
+    >>> late = FailedAttempt(RequestClass.WRITE, ErrorKind.TIMEOUT, True, 10.0)
     >>> may_resend(late, 5.0)
     False
     """
     if attempt.response_started or now >= attempt.deadline:
         return False
-    if attempt.request is Request.IN_TRANSACTION:
+    if attempt.request is RequestClass.IN_TRANSACTION:
         # The transaction is bound to its connection: the statements before
         # this one are rolled back when the connection is lost.
         return False
@@ -89,4 +89,4 @@
         return True
     if attempt.kind not in ENDPOINT_FAULT_KINDS:
         return False
-    return not attempt.bytes_sent or attempt.request is Request.READ
+    return not attempt.request_sent or attempt.request is RequestClass.READ
--- a/chivescale/retry/tests/steps/retry_steps.py
+++ b/chivescale/retry/tests/steps/retry_steps.py
@@ -6,8 +6,8 @@
 
 from chivescale.errors import ErrorKind
 from chivescale.retry import (
-    Attempt,
-    Request,
+    FailedAttempt,
+    RequestClass,
     RetryBudget,
     backoff_s,
     may_resend,
@@ -17,8 +17,8 @@
 @when("a {request} fails with {kind}, {sent} and {answered}")
 def fail_request(context, request, kind, sent, answered):
     kind, _, errno = kind.partition(":")
-    context.attempt = Attempt(
-        Request(request),
+    context.attempt = FailedAttempt(
+        RequestClass(request),
         ErrorKind(kind),
         sent != "unsent",
         5.0 if sent == "late" else 20.0,
