--- a/chivescale/control/_host.py
+++ b/chivescale/control/_host.py
@@ -183,15 +183,15 @@
 
     # Access to the state.
 
-    def not_leader(self) -> Failure:
+    def not_leader_failure(self) -> Failure:
         """Return the failure for a request that requires the leader."""
         if self.agreement.failure is not None:
             return self.agreement.failure
         address = self.agreement.leader_address
         reason = f"{self.settings.host.name} is not the control leader"
-        return Failure(ErrorKind.NOT_LEADER, reason, redirect=address)
+        return Failure(ErrorKind.NOT_LEADER, reason, leader_address=address)
 
-    def authoritative(self) -> bool:
+    def is_authoritative(self) -> bool:
         """Return whether this host is in contact with a quorum."""
         machine = self.agreement.machine
         if machine is None or self.agreement.failure is not None:
@@ -212,8 +212,8 @@
                 break
         if after > self.state.index:
             # The caller's copy is newer than the state of this host.
-            return WatchReply(self.state.index, self.authoritative())
-        return self.state.changes_since(after, self.authoritative())
+            return WatchReply(self.state.index, self.is_authoritative())
+        return self.state.changes_since(after, self.is_authoritative())
 
     async def _wait_for_change(self, timeout_s: float) -> bool:
         waiter = asyncio.get_running_loop().create_future()
--- a/chivescale/control/tests/steps/control_steps.py
+++ b/chivescale/control/tests/steps/control_steps.py
@@ -108,7 +108,7 @@
         if other != address:
             answer = request(context, other, "/v1/sheet", SheetAnswer)
             assert answer.kind is ErrorKind.NOT_LEADER, answer
-            assert answer.redirect == address, answer
+            assert answer.leader_address == address, answer
             status = request(context, other, "/v1/status", Status)
             assert (status.role, status.leader) == ("follower", address)
     status = request(context, address, "/v1/status", Status)
@@ -211,7 +211,7 @@
 @then("the remaining one serves the state as not authoritative")
 def check_not_authoritative(context):
     host = context.system.control_hosts["c3"]
-    run(context, context.system.wait_for(lambda: not host.authoritative()))
+    run(context, context.system.wait_for(lambda: not host.is_authoritative()))
     address = context.system.addresses[2]
     reply = request(context, address, "/v1/watch?after=0", WatchReply)
     assert not reply.authoritative and reply.services, reply
--- a/chivescale/pipeline/_primary.py
+++ b/chivescale/pipeline/_primary.py
@@ -10,8 +10,8 @@
 from chivescale.mysql import ClientConnection, QueryResult
 from chivescale.pipeline._call import Answer, Call
 from chivescale.pipeline._gate import EndpointGate, run_statement
-from chivescale.retry import Attempt, Request, backoff_s, may_resend
-from chivescale.session import Confirmed, ProvedAbsent
+from chivescale.retry import FailedAttempt, RequestClass, backoff_s, may_resend
+from chivescale.session import Confirmed, WriteAbsent
 
 # Time that a replaced primary is given to deliver an answer that is already
 # in transit, before its connection is closed.
@@ -76,7 +76,7 @@
     if gate.leaving:
         reason = f"primary {record.primary} is leaving"
         return Failure(ErrorKind.NO_PRIMARY, reason)
-    if view.freshness.highest_promised > record.term:
+    if view.freshness.highest_promised_term > record.term:
         reason = f"primary {record.primary} is being replaced"
         return Failure(ErrorKind.NO_PRIMARY, reason)
     return gate
@@ -173,7 +173,7 @@
     answered.
     """
     if not task.done() and gate.last_answer_at < started_at:
-        gate.pool.suspect_silence()
+        gate.pool.retire_connections()
 
 
 async def run_on_primary(call: Call, primary: Primary, sql: str) -> Answer:
@@ -246,9 +246,9 @@
     """Return `result` once a quorum holds `position`."""
     outcome = await call.service.view.confirm(position, call.deadline)
     if isinstance(outcome, Confirmed):
-        call.state.position.write_confirmed(position)
+        call.state.position.record_write(position)
         return result
-    if isinstance(outcome, ProvedAbsent):
+    if isinstance(outcome, WriteAbsent):
         return Failure(
             ErrorKind.DID_NOT_RUN,
             "the primary was replaced before the write was replicated",
@@ -278,10 +278,10 @@
 
 def was_not_executed(failure: Failure) -> bool:
     """Return whether a failed statement was certainly not executed."""
-    attempt = Attempt(
-        Request.WRITE,
+    attempt = FailedAttempt(
+        RequestClass.WRITE,
         failure.kind,
-        bytes_sent=failure.kind is ErrorKind.TIMEOUT,
+        request_sent=failure.kind is ErrorKind.TIMEOUT,
         deadline=float("inf"),
         errno=failure.errno,
     )
--- a/chivescale/pipeline/_read.py
+++ b/chivescale/pipeline/_read.py
@@ -9,8 +9,8 @@
 from chivescale.messages import Position
 from chivescale.pipeline._call import Answer, Call
 from chivescale.pipeline._gate import EndpointGate, run_statement
-from chivescale.retry import Attempt, Request, backoff_s, may_resend
-from chivescale.routing import Candidate, Need, choose_endpoint
+from chivescale.retry import FailedAttempt, RequestClass, backoff_s, may_resend
+from chivescale.routing import Candidate, Requirements, choose_endpoint
 from chivescale.session import Token, parse_token
 
 MAX_ATTEMPTS = 6
@@ -27,7 +27,7 @@
 
     Attributes
     ----------
-    need : Need
+    need : Requirements
         Requirements for the selection of an endpoint.
     promised_term : int
         Highest promised term seen by the barrier; 0 without a barrier.
@@ -35,7 +35,7 @@
         Whether a barrier was taken.
     """
 
-    need: Need
+    need: Requirements
     promised_term: int
     barrier: bool
 
@@ -61,7 +61,7 @@
         return None
     token = parse_token(call.hints.token, call.session.service)
     if not is_failure(token):
-        call.state.position.use_token(token)
+        call.state.position.record_token(token)
     return token
 
 
@@ -101,7 +101,7 @@
         and gate.suspect_until <= now
         and gate.lagging_until <= now
         and gate.in_use < gate.limit.limit
-        and view.freshness.promised_ok(
+        and view.freshness.has_promised_term(
             gate.record.endpoint, plan.promised_term
         )
     ]
@@ -129,9 +129,9 @@
         or position.needs_barrier(token is not None)
     )
     if not barrier_needed:
-        need = Need(
+        need = Requirements(
             zone=call.environment.zone,
-            position=position.required(token),
+            position=position.required_position(token),
             max_age_s=max_age_s,
         )
         return _ReadPlan(need, 0, False)
@@ -140,9 +140,9 @@
     barrier_result = await call.service.view.barrier(barrier_deadline)
     if is_failure(barrier_result):
         return barrier_result
-    required = position.required(token)
+    required = position.required_position(token)
     needed = max(barrier_result.position, required or barrier_result.position)
-    need = Need(zone=call.environment.zone, position=needed)
+    need = Requirements(zone=call.environment.zone, position=needed)
     return _ReadPlan(need, barrier_result.promised_term, True)
 
 
@@ -187,9 +187,9 @@
         if same_incarnation
         else None,
         holds_position=same_incarnation
-        and (position is None or freshness.holds(name, position)),
-        promised_ok=same_incarnation
-        and freshness.promised_ok(name, plan.promised_term),
+        and (position is None or freshness.holds_position(name, position)),
+        has_promised_term=same_incarnation
+        and freshness.has_promised_term(name, plan.promised_term),
         suspect=gate.suspect_until > now,
     )
 
@@ -240,7 +240,7 @@
         await asyncio.wait({task}, timeout=silence_s)
         if not task.done() and _remaining_s(call) > silence_s:
             if call.environment.retries.try_retry():
-                gate.pool.suspect_silence()
+                gate.pool.retire_connections()
                 return Failure(
                     ErrorKind.TIMEOUT, "connection stopped responding"
                 )
@@ -254,7 +254,7 @@
 def _record_barrier(call: Call, plan: _ReadPlan) -> None:
     position: Position | None = plan.need.position
     if plan.barrier and position is not None:
-        call.state.position.barrier_taken(position)
+        call.state.position.record_barrier(position)
 
 
 def _may_retry(call: Call, failure: Failure, attempt: int) -> bool:
@@ -264,10 +264,10 @@
         # Waiting for replication or a new term puts no load on the endpoints,
         # so this retry does not consume the retry budget.
         return True
-    failed = Attempt(
-        Request.READ,
+    failed = FailedAttempt(
+        RequestClass.READ,
         failure.kind,
-        bytes_sent=True,
+        request_sent=True,
         deadline=call.deadline,
         errno=failure.errno,
     )
--- a/chivescale/pipeline/_service.py
+++ b/chivescale/pipeline/_service.py
@@ -99,7 +99,7 @@
         Concurrent calls share a round where possible.
         """
         waiter_id, future = self._add_waiter()
-        self._step_barriers(session.Join(waiter_id, deadline))
+        self._step_barriers(session.ReadArrived(waiter_id, deadline))
         return await self._wait_for(waiter_id, future)
 
     async def confirm(self, position: Position, deadline: float):
@@ -107,10 +107,12 @@
 
         Returns
         -------
-        Confirmed, ProvedAbsent or Unknown
+        Confirmed, WriteAbsent or OutcomeUnknown
         """
         waiter_id, future = self._add_waiter()
-        self._step_confirmations(session.Wait(waiter_id, position, deadline))
+        self._step_confirmations(
+            session.WriteAccepted(waiter_id, position, deadline)
+        )
         return await self._wait_for(waiter_id, future)
 
     async def check_quorum(self, deadline: float) -> Failure | None:
@@ -202,17 +204,17 @@
         now = clock.now()
         for effect in self.confirmations.step(event, now):
             match effect:
-                case session.AskPositions():
+                case session.PollPositions():
                     for endpoint in effect.endpoints:
                         self._spawn(
                             self._request_position(endpoint, effect.position)
                         )
-                case session.AskHistory():
+                case session.RequestTermStarts():
                     self._spawn(self._request_history(effect.endpoint))
                 case session.Confirmed():
                     self.quorum_at = now
                     self._complete(effect.write_id, effect)
-                case session.ProvedAbsent() | session.Unknown():
+                case session.WriteAbsent() | session.OutcomeUnknown():
                     self._complete(effect.write_id, effect)
         self._schedule(
             "confirm", self.confirmations.wake_at, self._step_confirmations
@@ -261,7 +263,7 @@
             endpoint, path, POSITION_REQUEST_TIMEOUT_S
         )
         if status is None:
-            self._step_confirmations(session.AskFailed(endpoint))
+            self._step_confirmations(session.PollFailed(endpoint))
         else:
             self._step_confirmations(
                 session.PositionReceived(endpoint, status)
@@ -272,9 +274,11 @@
             endpoint, "/v1/position", STATUS_REQUEST_TIMEOUT_S
         )
         if status is None:
-            self._step_confirmations(session.HistoryFailed(endpoint))
+            self._step_confirmations(session.TermStartsFailed(endpoint))
         else:
-            self._step_confirmations(session.HistoryReceived(endpoint, status))
+            self._step_confirmations(
+                session.TermStartsReceived(endpoint, status)
+            )
 
     async def _request_status(
         self,
--- a/chivescale/pipeline/tests/steps/replaced_steps.py
+++ b/chivescale/pipeline/tests/steps/replaced_steps.py
@@ -44,7 +44,7 @@
 
     def __init__(self):
         self.record = types.SimpleNamespace(term=1, primary="e-1")
-        self.freshness = types.SimpleNamespace(highest_promised=1)
+        self.freshness = types.SimpleNamespace(highest_promised_term=1)
         self.changed = asyncio.Event()
 
     async def wait_for_update(self, until):
@@ -89,7 +89,7 @@
     async def run():
         view = FakeView()
         pool = types.SimpleNamespace(
-            release=lambda _connection: None, suspect_silence=lambda: None
+            release=lambda _connection: None, retire_connections=lambda: None
         )
         connection = UnresponsiveConnection(context.statement)
         primary = Primary(EndpointGate(RECORD, pool), connection, 1)
--- a/chivescale/session/_confirmations.py
+++ b/chivescale/session/_confirmations.py
@@ -16,7 +16,7 @@
 POLL_TIMEOUT_S = 2.0
 
 
-class Wait(msgspec.Struct, frozen=True):
+class WriteAccepted(msgspec.Struct, frozen=True):
     """Event: a primary executed a write at `position`.
 
     A quorum of the voters of the term of `position` has to hold it.
@@ -32,18 +32,18 @@
 
     Attributes
     ----------
-    asked : bool
-        Whether it is the answer to `AskPositions`; false for a status that
+    polled : bool
+        Whether it is the answer to `PollPositions`; false for a status that
         was obtained in another way.
     """
 
     endpoint: str
     status: EndpointStatus
-    asked: bool = True
+    polled: bool = True
 
 
-class AskFailed(msgspec.Struct, frozen=True):
-    """Event: an endpoint of `AskPositions` did not answer."""
+class PollFailed(msgspec.Struct, frozen=True):
+    """Event: an endpoint of `PollPositions` did not answer."""
 
     endpoint: str
 
@@ -54,27 +54,27 @@
     record: ServiceRecord
 
 
-class HistoryReceived(msgspec.Struct, frozen=True):
-    """Event: answer to `AskHistory`, a status with its term starts."""
+class TermStartsReceived(msgspec.Struct, frozen=True):
+    """Event: answer to `RequestTermStarts`, a status with its term starts."""
 
     endpoint: str
     status: EndpointStatus
 
 
-class HistoryFailed(msgspec.Struct, frozen=True):
-    """Event: the endpoint of `AskHistory` did not answer."""
+class TermStartsFailed(msgspec.Struct, frozen=True):
+    """Event: the endpoint of `RequestTermStarts` did not answer."""
 
     endpoint: str
 
 
-class AskPositions(msgspec.Struct, frozen=True):
+class PollPositions(msgspec.Struct, frozen=True):
     """Effect: long-poll `endpoints` until they hold `position`."""
 
     endpoints: tuple[str, ...]
     position: Position
 
 
-class AskHistory(msgspec.Struct, frozen=True):
+class RequestTermStarts(msgspec.Struct, frozen=True):
     """Effect: request the term starts of the primary of established `term`."""
 
     endpoint: str
@@ -87,13 +87,13 @@
     write_id: int
 
 
-class ProvedAbsent(msgspec.Struct, frozen=True):
+class WriteAbsent(msgspec.Struct, frozen=True):
     """Effect: the log of an established higher term lacks the write."""
 
     write_id: int
 
 
-class Unknown(msgspec.Struct, frozen=True):
+class OutcomeUnknown(msgspec.Struct, frozen=True):
     """Effect: the deadline passed before the outcome was proven."""
 
     write_id: int
@@ -132,7 +132,7 @@
         self.poll_timeout_s = poll_timeout_s
         self.record = record
         self.terms: dict[int, _TermState] = {}
-        self.waits: dict[int, Wait] = {}
+        self.waits: dict[int, WriteAccepted] = {}
         self.deadlines: list[tuple[float, int]] = []
         # When each endpoint may be polled again; while a poll is in progress,
         # the time at which it times out.
@@ -161,31 +161,32 @@
 
         Parameters
         ----------
-        event : Wait, PositionReceived, AskFailed, TermEstablished, \
-HistoryReceived, HistoryFailed or Tick
+        event : WriteAccepted, PositionReceived, PollFailed, TermEstablished, \
+TermStartsReceived, TermStartsFailed or Tick
             Event to process.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
-        list of AskPositions, AskHistory, Confirmed, ProvedAbsent, Unknown
+        list of PollPositions, RequestTermStarts, Confirmed, WriteAbsent, \
+OutcomeUnknown
         """
         effects: list = []
         match event:
-            case Wait():
+            case WriteAccepted():
                 self._add_write(event)
             case PositionReceived():
                 self._record_position(event, now)
                 self._resolve_by_history(event.status, effects)
-            case AskFailed():
+            case PollFailed():
                 self.next_poll_at[event.endpoint] = now + self.retry_delay_s
             case TermEstablished():
                 self._handle_term(event.record)
-            case HistoryReceived():
+            case TermStartsReceived():
                 self.next_history_at = now + self.retry_delay_s
                 self._resolve_by_history(event.status, effects)
-            case HistoryFailed():
+            case TermStartsFailed():
                 self.next_history_at = now + self.retry_delay_s
             case Tick():
                 pass
@@ -199,7 +200,7 @@
             self.terms[term] = _TermState({}, [], None)
         return self.terms[term]
 
-    def _add_write(self, wait: Wait) -> None:
+    def _add_write(self, wait: WriteAccepted) -> None:
         self.waits[wait.write_id] = wait
         entry = (wait.position.position, wait.write_id)
         heapq.heappush(self._term_state(wait.position.term).pending, entry)
@@ -215,7 +216,7 @@
                 progress = status.last.position > previous
                 if progress:
                     state.positions[event.endpoint] = status.last.position
-        if event.asked:
+        if event.polled:
             delay_s = 0.0 if progress else self.retry_delay_s
             self.next_poll_at[event.endpoint] = now + delay_s
 
@@ -291,7 +292,7 @@
                 continue
             del self.waits[wait.write_id]
             is_present = owning_term == wait.position.term
-            outcome = Confirmed if is_present else ProvedAbsent
+            outcome = Confirmed if is_present else WriteAbsent
             effects.append(outcome(wait.write_id))
 
     def _expire_writes(self, now: float, effects: list) -> None:
@@ -299,7 +300,7 @@
         while self.deadlines and self.deadlines[0][0] <= now:
             _, write_id = heapq.heappop(self.deadlines)
             if self.waits.pop(write_id, None) is not None:
-                effects.append(Unknown(write_id))
+                effects.append(OutcomeUnknown(write_id))
 
     def _drop_finished_deadlines(self) -> None:
         while self.deadlines and self.deadlines[0][1] not in self.waits:
@@ -334,10 +335,12 @@
                 by_position.setdefault(position, []).append(voter)
         for position, voters in sorted(by_position.items()):
             target = Position(self.record.term, position)
-            effects.append(AskPositions(tuple(voters), target))
+            effects.append(PollPositions(tuple(voters), target))
         if now >= self.next_history_at and self._has_writes_of_older_terms():
             self.next_history_at = now + self.poll_timeout_s
-            effects.append(AskHistory(self.record.primary, self.record.term))
+            effects.append(
+                RequestTermStarts(self.record.primary, self.record.term)
+            )
 
 
 def _is_voter(record: ServiceRecord, endpoint: str, incarnation: str) -> bool:
--- a/chivescale/session/tests/random_run.py
+++ b/chivescale/session/tests/random_run.py
@@ -9,28 +9,28 @@
 import sys
 
 from chivescale.session import (
-    AskFailed,
-    AskHistory,
-    AskPositions,
     BarrierFailed,
     BarrierReady,
     Barriers,
     Confirmations,
     Confirmed,
     Freshness,
-    HistoryFailed,
-    HistoryReceived,
-    Join,
+    OutcomeUnknown,
+    PollFailed,
+    PollPositions,
     PositionReceived,
-    ProvedAbsent,
+    ReadArrived,
+    RequestTermStarts,
     StartRound,
     StatusFailed,
     StatusReceived,
     TermChanged,
     TermEstablished,
+    TermStartsFailed,
+    TermStartsReceived,
     Tick,
-    Unknown,
-    Wait,
+    WriteAbsent,
+    WriteAccepted,
 )
 from chivescale.session.tests.group_model import Group
 
@@ -97,7 +97,7 @@
         if position is not None:
             self.pending_writes[number] = f"w{number}"
             deadline = self.now + self.rng.uniform(0.1, 3.0)
-            wait = Wait(number, position, deadline)
+            wait = WriteAccepted(number, position, deadline)
             self.messages.append(lambda: self.confirm(host, wait))
 
     def do_read(self):
@@ -105,7 +105,7 @@
         self.last_id += 1
         self.pending_reads[self.last_id] = len(self.confirmed_writes)
         deadline = self.now + self.rng.uniform(0.05, 3.0)
-        self.barrier(host, Join(self.last_id, deadline))
+        self.barrier(host, ReadArrived(self.last_id, deadline))
 
     def do_replicate(self):
         self.group.replicate()
@@ -209,18 +209,18 @@
     def confirm(self, host, event):
         for effect in host.confirmations.step(event, self.now):
             match effect:
-                case AskPositions():
+                case PollPositions():
                     for name in effect.endpoints:
                         self.request_position(host, name)
-                case AskHistory():
+                case RequestTermStarts():
                     self.request_history(host, effect.endpoint)
                 case Confirmed():
                     self.check_confirmed(
                         self.pending_writes.pop(effect.write_id)
                     )
-                case ProvedAbsent():
+                case WriteAbsent():
                     self.check_absent(self.pending_writes.pop(effect.write_id))
-                case Unknown():
+                case OutcomeUnknown():
                     self.counts["unknown"] += 1
                     del self.pending_writes[effect.write_id]
 
@@ -229,15 +229,17 @@
             host,
             name,
             lambda status: self.confirm(host, PositionReceived(name, status)),
-            lambda: self.confirm(host, AskFailed(name)),
+            lambda: self.confirm(host, PollFailed(name)),
         )
 
     def request_history(self, host, name):
         self.request_status(
             host,
             name,
-            lambda status: self.confirm(host, HistoryReceived(name, status)),
-            lambda: self.confirm(host, HistoryFailed(name)),
+            lambda status: self.confirm(
+                host, TermStartsReceived(name, status)
+            ),
+            lambda: self.confirm(host, TermStartsFailed(name)),
         )
 
     def check_read(self, host, confirmed_count, ready):
@@ -249,9 +251,9 @@
                 self.check_holds(
                     host, name, confirmed_count, "holder", voter=True
                 )
-            if host.freshness.holds(
+            if host.freshness.holds_position(
                 name, ready.position
-            ) and host.freshness.promised_ok(name, ready.promised_term):
+            ) and host.freshness.has_promised_term(name, ready.promised_term):
                 self.counts["served"] += 1
                 self.check_holds(host, name, confirmed_count, "read")
 
--- a/chivescale/session/tests/steps/confirmation_steps.py
+++ b/chivescale/session/tests/steps/confirmation_steps.py
@@ -5,20 +5,24 @@
 
 from chivescale.messages import Position, ServiceRecord, TermStart
 from chivescale.session import (
-    AskHistory,
-    AskPositions,
     Confirmations,
     Confirmed,
-    HistoryReceived,
+    OutcomeUnknown,
+    PollPositions,
     PositionReceived,
-    ProvedAbsent,
+    RequestTermStarts,
     TermEstablished,
+    TermStartsReceived,
     Tick,
-    Unknown,
-    Wait,
+    WriteAbsent,
+    WriteAccepted,
 )
 
-OUTCOMES = {Confirmed: "confirmed", ProvedAbsent: "absent", Unknown: "unknown"}
+OUTCOMES = {
+    Confirmed: "confirmed",
+    WriteAbsent: "absent",
+    OutcomeUnknown: "unknown",
+}
 
 
 def make_record(term, primary, voters):
@@ -45,7 +49,9 @@
     term, position = write.split(".")
     context.writes += 1
     target = Position(int(term), int(position))
-    process_event(context, Wait(context.writes, target, context.now + 5.0))
+    process_event(
+        context, WriteAccepted(context.writes, target, context.now + 5.0)
+    )
     receive_positions(context, positions)
 
 
@@ -68,7 +74,7 @@
     pairs = (each.split(":") for each in starts.split())
     term_starts = tuple(TermStart(int(term), int(at)) for term, at in pairs)
     status = make_status(name, 4, position, "1", term_starts)
-    process_event(context, HistoryReceived(name, status))
+    process_event(context, TermStartsReceived(name, status))
 
 
 @when("the deadline of the write passes")
@@ -89,16 +95,18 @@
 
 @then("the history of {name} is requested")
 def check_history_requested(context, name):
-    requested = [e.endpoint for e in context.effects if type(e) is AskHistory]
+    requested = [
+        e.endpoint for e in context.effects if type(e) is RequestTermStarts
+    ]
     assert requested == [name], requested
 
 
 @then("b and c were polled once for 2.10")
 def check_polled_once(context):
-    requested = [e for e in context.effects if type(e) is AskPositions]
-    assert requested == [AskPositions(("b", "c"), Position(2, 10))], requested
+    requested = [e for e in context.effects if type(e) is PollPositions]
+    assert requested == [PollPositions(("b", "c"), Position(2, 10))], requested
 
 
 @then("b is polled for 2.12")
 def check_next_poll(context):
-    assert context.effects[-1] == AskPositions(("b",), Position(2, 12))
+    assert context.effects[-1] == PollPositions(("b",), Position(2, 12))
